--- a/bench/one_target.py
+++ b/bench/one_target.py
@@ -7,7 +7,6 @@
 from collections.abc import Callable
 from functools import partial
 
-from trackwheel.dispatch.line import TargetLine
 from trackwheel.dispatch.models import (
     CheckHealth,
     DispatchCommand,
@@ -18,6 +17,7 @@
     Work,
     WorkKey,
 )
+from trackwheel.dispatch.target_scheduler import TargetScheduler
 from trackwheel.files.models import Policy, ServiceSpec
 
 Action = Callable[[], None]
@@ -55,12 +55,12 @@
         self._most_waiting = most_waiting
         policy = Policy(1.0, 1.0, 1.0)
         service = ServiceSpec("s", claimed, connections, 0.006, 0.05, 0.99, policy, ())
-        self.lines = [TargetLine("t", service, 0.0) for _ in range(lines)]
+        self.lines = [TargetScheduler("t", service, 0.0) for _ in range(lines)]
         for line in self.lines:
             self.perform(line.first_commands)
 
     @property
-    def line(self) -> TargetLine:
+    def line(self) -> TargetScheduler:
         """Return the only line of an owned target, the first one of a shared one."""
         return self.lines[0]
 
--- a/tests/dispatch/test_judge.py
+++ b/tests/dispatch/test_reply_classifier.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from trackwheel.dispatch.judge import judge_execute, judge_query
 from trackwheel.dispatch.models import Outcome, RunOutcome, Work, WorkKey
+from trackwheel.dispatch.reply_classifier import classify_execute_reply, classify_query_reply
 from trackwheel.targets.models import TargetReply
 
 WORK = Work(WorkKey("g", "q", 1, "t"), "s", "clerks", 1.0, 1, "", False, "id", "boot")
@@ -42,7 +42,7 @@
     ],
 )
 def test_only_its_own_whole_answer_counts(given: TargetReply, outcome: Outcome) -> None:
-    assert judge_query(WORK, given)[0] is outcome
+    assert classify_query_reply(WORK, given)[0] is outcome
 
 
 @pytest.mark.parametrize(
@@ -63,4 +63,4 @@
 def test_only_its_own_refusal_proves_that_it_was_not_run(
     given: TargetReply, outcome: RunOutcome
 ) -> None:
-    assert judge_execute(WORK, given)[0] is outcome
+    assert classify_execute_reply(WORK, given)[0] is outcome
--- a/tests/dispatch/test_service_time.py
+++ b/tests/dispatch/test_service_time.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.dispatch.test_line import Commands, LineSession, outcomes
+from tests.dispatch.test_target_scheduler import Commands, SchedulerSession, outcomes
 from trackwheel.dispatch.const import EJECT_AFTER_STALLS
 from trackwheel.dispatch.models import Ended, Outcome, SendQuery, Work
 from trackwheel.dispatch.service_time import ServiceTime
@@ -12,7 +12,7 @@
 DEADLINE_S = 0.4
 
 
-class PausedTarget(LineSession):
+class PausedTarget(SchedulerSession):
     """Drive a line whose target answers each request after the usual time, or after a pause."""
 
     def __init__(self, slots: int = 2) -> None:
@@ -27,14 +27,14 @@
 
     def arrive(self) -> None:
         work = self.work(deadline=self.now + DEADLINE_S)
-        self.take(self.line.offer(work, 1.0, self.now))
+        self.take(self.scheduler.offer(work, 1.0, self.now))
 
     def answer(self, service_s: float) -> None:
         """Let all requests at the target end, each after the same time."""
         running, self.sent = self.sent, []
         for work in running:
             ended = Ended(work.key, Outcome.OK, service_s, "boot1", False)
-            self.take(self.line.ended(ended, self.now))
+            self.take(self.scheduler.ended(ended, self.now))
 
     def serve(self, count: int, service_s: float = SERVICE_S) -> None:
         for _ in range(count):
@@ -58,7 +58,7 @@
         session.now += SERVICE_S
         session.answer(SERVICE_S)
     assert session.refused == []
-    assert session.line.waiting == 0
+    assert session.scheduler.waiting == 0
 
 
 @pytest.mark.parametrize("service_s", [0.03, 0.3], ids=["eight-times", "many-times"])
@@ -66,7 +66,7 @@
     session = PausedTarget()
     session.serve(100)
     session.serve(30, service_s)
-    assert session.line.estimate().mean_s > 0.9 * service_s
+    assert session.scheduler.estimate().mean_s > 0.9 * service_s
 
 
 def test_work_is_still_refused_at_a_target_that_became_too_slow() -> None:
@@ -134,8 +134,8 @@
     for _ in range(EJECT_AFTER_STALLS):
         work, _ = session.offer(session.now)
         session.now += held_s
-        session.line.withdraw(work.key, session.now)
-    assert session.line.ejected(session.now) is ejected
+        session.scheduler.withdraw(work.key, session.now)
+    assert session.scheduler.ejected(session.now) is ejected
 
 
 def test_quicker_one_of_the_first_two_answers_is_believed() -> None:
--- a/tests/dispatch/test_line.py
+++ b/tests/dispatch/test_target_scheduler.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from trackwheel.dispatch.line import TargetLine
 from trackwheel.dispatch.models import (
     AskPermit,
     CancelSend,
@@ -20,20 +19,21 @@
     Work,
     WorkKey,
 )
+from trackwheel.dispatch.target_scheduler import TargetScheduler
 from trackwheel.files.models import Policy, ServiceSpec
 
 Commands = list[DispatchCommand]
 
 
-class LineSession:
+class SchedulerSession:
     """Drive one line by hand."""
 
     def __init__(self, slots: int = 2, warm: bool = True) -> None:
         service = ServiceSpec("s", slots, 25, 0.006, 0.05, 0.99, Policy(1.0, 1.0, 1.0), ())
-        self.line = TargetLine("t", service, 0.0)
+        self.scheduler = TargetScheduler("t", service, 0.0)
         self.number = 0
         if warm:
-            self.line.health(True, "boot1", False, 0.0)
+            self.scheduler.health(True, "boot1", False, 0.0)
 
     def work(self, deadline: float = 1.0, once: bool = False, last_resort: bool = False) -> Work:
         self.number += 1
@@ -43,12 +43,12 @@
 
     def offer(self, now: float = 0.0, **options: bool) -> tuple[Work, Commands]:
         work = self.work(deadline=now + 1.0, **options)
-        return work, self.line.offer(work, 1.0, now)
+        return work, self.scheduler.offer(work, 1.0, now)
 
     def end(
         self, work: Work, outcome: Outcome, now: float, boot: str = "boot1", leaving: bool = False
     ) -> Commands:
-        return self.line.ended(Ended(work.key, outcome, 0.005, boot, leaving), now)
+        return self.scheduler.ended(Ended(work.key, outcome, 0.005, boot, leaving), now)
 
 
 def outcomes(commands: Commands) -> list[Outcome]:
@@ -56,35 +56,35 @@
 
 
 def test_cold_line_reads_the_health_page_before_it_sends() -> None:
-    session = LineSession(warm=False)
-    assert any(isinstance(command, CheckHealth) for command in session.line.first_commands)
+    session = SchedulerSession(warm=False)
+    assert any(isinstance(command, CheckHealth) for command in session.scheduler.first_commands)
     _, commands = session.offer()
     assert commands == []
-    assert any(isinstance(c, SendQuery) for c in session.line.health(True, "b", False, 0.001))
+    assert any(isinstance(c, SendQuery) for c in session.scheduler.health(True, "b", False, 0.001))
 
 
 def test_cold_line_does_not_wait_for_a_health_page_for_ever() -> None:
-    session = LineSession(warm=False)
+    session = SchedulerSession(warm=False)
     session.offer()
-    commands = session.line.tick(session.line.next_wake())
-    commands += session.line.tick(1.0)
+    commands = session.scheduler.tick(session.scheduler.next_wake())
+    commands += session.scheduler.tick(1.0)
     assert any(isinstance(command, SendQuery | Refuse) for command in commands)
 
 
-SIGNS: list[tuple[str, Callable[[LineSession, Work], Commands]]] = [
+SIGNS: list[tuple[str, Callable[[SchedulerSession, Work], Commands]]] = [
     ("answer", lambda s, w: s.end(w, Outcome.OK, 0.01, leaving=True)),
     ("refusal", lambda s, w: s.end(w, Outcome.LEAVING, 0.01, leaving=True)),
-    ("health-page", lambda s, w: s.line.health(True, "boot1", True, 0.01)),
-    ("other-box", lambda s, w: s.line.apply_leaving_report("boot1")),
-    ("file", lambda s, w: s.line.set_removed(True)),
+    ("health-page", lambda s, w: s.scheduler.health(True, "boot1", True, 0.01)),
+    ("other-box", lambda s, w: s.scheduler.apply_leaving_report("boot1")),
+    ("file", lambda s, w: s.scheduler.set_removed(True)),
 ]
 
 
 @pytest.mark.parametrize(("name", "sign"), SIGNS, ids=[name for name, _ in SIGNS])
 def test_leaving_target_gets_no_new_work(
-    name: str, sign: Callable[[LineSession, Work], Commands]
+    name: str, sign: Callable[[SchedulerSession, Work], Commands]
 ) -> None:
-    session = LineSession()
+    session = SchedulerSession()
     running, _ = session.offer()
     waiting, commands = session.offer()
     assert commands == []
@@ -94,11 +94,11 @@
 
 
 def test_running_work_of_a_leaving_target_is_left_to_end() -> None:
-    session = LineSession()
+    session = SchedulerSession()
     work, _ = session.offer()
-    commands = session.line.health(True, "boot1", True, 0.01)
+    commands = session.scheduler.health(True, "boot1", True, 0.01)
     assert not any(isinstance(command, CancelSend) for command in commands)
-    assert session.line.running == 1
+    assert session.scheduler.running == 1
     assert session.end(work, Outcome.OK, 0.02) == []
 
 
@@ -111,53 +111,53 @@
     ],
 )
 def test_only_a_new_boot_ends_leaving(boot: str, leaving: bool, returns: bool) -> None:
-    session = LineSession()
-    told = session.line.health(True, "boot1", True, 0.01)
+    session = SchedulerSession()
+    told = session.scheduler.health(True, "boot1", True, 0.01)
     assert ReportLeaving("t", "boot1") in told
-    session.line.health(True, boot, leaving, 5.0)
+    session.scheduler.health(True, boot, leaving, 5.0)
     refused = outcomes(session.offer(5.1)[1]) == [Outcome.LEAVING]
     assert refused is not returns
 
 
 def test_late_word_of_an_old_boot_changes_nothing() -> None:
-    session = LineSession()
-    session.line.health(True, "boot2", False, 1.0)
-    session.line.apply_leaving_report("boot1")
+    session = SchedulerSession()
+    session.scheduler.health(True, "boot2", False, 1.0)
+    session.scheduler.apply_leaving_report("boot1")
     assert outcomes(session.offer(1.1)[1]) == []
 
 
 def test_word_of_a_boot_not_met_yet_ends_new_work_until_the_target_speaks() -> None:
     """An owner that had missed a restart sent work to a target that others knew as leaving."""
-    session = LineSession()
-    commands = session.line.apply_leaving_report("boot2")
+    session = SchedulerSession()
+    commands = session.scheduler.apply_leaving_report("boot2")
     assert CheckHealth("t") in commands
     assert outcomes(session.offer(0.1)[1]) == [Outcome.LEAVING]
-    session.line.health(True, "boot2", False, 0.2)
+    session.scheduler.health(True, "boot2", False, 0.2)
     assert outcomes(session.offer(0.3)[1]) == [Outcome.LEAVING], "its page lies"
-    session.line.health(True, "boot3", False, 0.4)
+    session.scheduler.health(True, "boot3", False, 0.4)
     assert outcomes(session.offer(0.5)[1]) == []
 
 
 def test_word_of_a_boot_before_the_first_one_met_is_over_with_the_next_page() -> None:
-    session = LineSession()
-    session.line.apply_leaving_report("boot0")
-    session.line.health(True, "boot1", False, 0.1)
+    session = SchedulerSession()
+    session.scheduler.apply_leaving_report("boot0")
+    session.scheduler.health(True, "boot1", False, 0.1)
     assert outcomes(session.offer(0.2)[1]) == []
 
 
 @pytest.mark.parametrize("late", ["boot1", ""], ids=["earlier-boot", "no-boot"])
 def test_late_answer_of_an_earlier_boot_hides_no_report(late: str) -> None:
     """A report on the target's boot would be passed over as one on an earlier boot."""
-    session = LineSession()
-    session.line.health(True, "boot2", False, 0.1)
-    session.line.health(True, late, False, 0.2)
-    session.line.apply_leaving_report("boot2")
+    session = SchedulerSession()
+    session.scheduler.health(True, "boot2", False, 0.1)
+    session.scheduler.health(True, late, False, 0.2)
+    session.scheduler.apply_leaving_report("boot2")
     assert outcomes(session.offer(0.3)[1]) == [Outcome.LEAVING]
-    session.line.health(True, late, False, 0.4)
+    session.scheduler.health(True, late, False, 0.4)
     assert outcomes(session.offer(0.5)[1]) == [Outcome.LEAVING]
 
 
-def eject(session: LineSession) -> float:
+def eject(session: SchedulerSession) -> float:
     now = 0.0
     for _ in range(3):
         work, _ = session.offer(now)
@@ -167,9 +167,9 @@
 
 
 def test_failing_target_is_ejected_probed_and_let_back_slowly() -> None:
-    session = LineSession()
+    session = SchedulerSession()
     now = eject(session)
-    assert session.line.ejected(now)
+    assert session.scheduler.ejected(now)
     _, commands = session.offer(now)
     assert outcomes(commands) == [Outcome.EJECTED]
     retry = commands[0]
@@ -180,72 +180,72 @@
     assert [type(command) for command in commands] == [SendQuery]
     assert outcomes(session.offer(later)[1]) == [Outcome.EJECTED], "one trial at a time"
     session.end(trial, Outcome.OK, later + 0.01)
-    assert session.line.limit == 1
+    assert session.scheduler.limit == 1
     assert outcomes(session.offer(later + 0.02)[1]) == []
 
 
 def test_failed_trial_ejects_for_longer() -> None:
-    session = LineSession()
+    session = SchedulerSession()
     now = eject(session) + 0.6
     trial, _ = session.offer(now)
     session.end(trial, Outcome.FAILED, now + 0.01)
-    assert session.line.ejected(now + 0.9)
-    assert not session.line.ejected(now + 1.1)
+    assert session.scheduler.ejected(now + 0.9)
+    assert not session.scheduler.ejected(now + 1.1)
 
 
 def test_last_resort_goes_to_an_ejected_target() -> None:
-    session = LineSession()
+    session = SchedulerSession()
     now = eject(session)
     _, commands = session.offer(now, last_resort=True)
     assert [type(command) for command in commands] == [SendQuery]
 
 
 def test_stalled_target_is_ejected_by_withdrawals() -> None:
-    session = LineSession()
+    session = SchedulerSession()
     first, _ = session.offer()
     session.end(first, Outcome.OK, 0.005)
     now = 0.01
     for _ in range(8):
         work, _ = session.offer(now)
         now += 0.3
-        session.line.withdraw(work.key, now)
-    assert session.line.ejected(now)
+        session.scheduler.withdraw(work.key, now)
+    assert session.scheduler.ejected(now)
 
 
 @pytest.mark.parametrize("late", [False, True], ids=["withdrawn", "late"])
 def test_requests_that_one_pause_delayed_do_not_eject_a_target(late: bool) -> None:
     """A pause of 0.6 s took both targets of a shard out of use, and queries were given up."""
-    session = LineSession(slots=8)
+    session = SchedulerSession(slots=8)
     for number in range(40):
         work, _ = session.offer(number * 0.01)
         session.end(work, Outcome.OK, number * 0.01 + 0.005)
     delayed = [session.offer(1.0)[0] for _ in range(8)]
     for work in delayed:
         if late:
-            session.line.ended(Ended(work.key, Outcome.LATE, 0.5), 1.5)
+            session.scheduler.ended(Ended(work.key, Outcome.LATE, 0.5), 1.5)
         else:
-            session.line.withdraw(work.key, 1.5)
-    assert session.line.running == 0
-    assert not session.line.ejected(1.5)
+            session.scheduler.withdraw(work.key, 1.5)
+    assert session.scheduler.running == 0
+    assert not session.scheduler.ejected(1.5)
 
 
 def test_withdrawal_is_free_in_the_queue_and_closes_a_running_one() -> None:
-    session = LineSession(slots=1)
+    session = SchedulerSession(slots=1)
     running, _ = session.offer()
     waiting, _ = session.offer()
-    assert session.line.withdraw(waiting.key, 0.001) == []
-    assert session.line.withdraw(running.key, 0.001) == [CancelSend(running.key)]
-    assert session.line.running == 0
+    assert session.scheduler.withdraw(waiting.key, 0.001) == []
+    assert session.scheduler.withdraw(running.key, 0.001) == [CancelSend(running.key)]
+    assert session.scheduler.running == 0
 
 
 def test_permit_is_asked_with_the_slot_in_hand() -> None:
-    session = LineSession(slots=1)
+    session = SchedulerSession(slots=1)
     work, commands = session.offer(once=True)
     assert commands == [AskPermit(work)]
-    assert session.line.running == 1
-    assert session.line.permit(work.key, True, 0.01) == [SendExecute(work)]
-    assert session.line.withdraw(work.key, 0.02) == [], "what may run is not taken back"
-    assert session.line.permit(work.key, True, 0.03) == [], "one grant, one send"
+    assert session.scheduler.running == 1
+    assert session.scheduler.permit(work.key, True, 0.01) == [SendExecute(work)]
+    assert session.scheduler.withdraw(work.key, 0.02) == [], "what may run is not taken back"
+    assert session.scheduler.permit(work.key, True, 0.03) == [], "one grant, one send"
 
 
 @pytest.mark.parametrize(
@@ -253,38 +253,38 @@
     [pytest.param(False, 0, id="denied"), pytest.param(True, 1, id="granted-too-late")],
 )
 def test_permit_that_does_not_come_frees_the_slot(granted: bool, expected: int) -> None:
-    session = LineSession(slots=1)
+    session = SchedulerSession(slots=1)
     work, _ = session.offer(once=True)
     other, _ = session.offer()
-    commands = session.line.tick(1.01) if granted else []
-    commands += session.line.permit(work.key, granted, 1.02)
+    commands = session.scheduler.tick(1.01) if granted else []
+    commands += session.scheduler.permit(work.key, granted, 1.02)
     assert [type(c) for c in commands].count(SendExecute) == 0
     assert [type(c) for c in commands].count(PermitUnused) == expected
-    assert session.line.running == 0 or any(isinstance(c, SendQuery) for c in commands)
+    assert session.scheduler.running == 0 or any(isinstance(c, SendQuery) for c in commands)
 
 
 def test_same_work_offered_twice_is_sent_once() -> None:
-    session = LineSession()
+    session = SchedulerSession()
     work, _ = session.offer()
-    assert session.line.offer(work, 1.0, 0.001) == []
+    assert session.scheduler.offer(work, 1.0, 0.001) == []
 
 
 def test_late_work_is_dropped_when_this_is_known() -> None:
-    session = LineSession(slots=1)
+    session = SchedulerSession(slots=1)
     running, _ = session.offer()
     early = session.work(deadline=0.1)
-    session.line.offer(early, 1.0, 0.0)
-    wake = session.line.next_wake()
+    session.scheduler.offer(early, 1.0, 0.0)
+    wake = session.scheduler.next_wake()
     assert wake < 0.1, "before the deadline, not at it"
-    assert outcomes(session.line.tick(wake)) == [Outcome.LATE]
+    assert outcomes(session.scheduler.tick(wake)) == [Outcome.LATE]
 
 
-def slow_line() -> LineSession:
+def slow_line() -> SchedulerSession:
     """Return a line that believes its target to be too slow for any work of a second."""
-    session = LineSession()
+    session = SchedulerSession()
     for number in range(20):
         work, _ = session.offer(float(number))
-        session.line.ended(Ended(work.key, Outcome.OK, 0.9, "boot1", False), number + 0.9)
+        session.scheduler.ended(Ended(work.key, Outcome.OK, 0.9, "boot1", False), number + 0.9)
     return session
 
 
@@ -293,7 +293,7 @@
     trial, commands = session.offer(30.0)
     assert commands == [SendQuery(trial)]
     assert outcomes(session.offer(30.0)[1]) == [Outcome.SHED]
-    session.line.ended(Ended(trial.key, Outcome.OK, 0.005, "boot1", False), 30.005)
+    session.scheduler.ended(Ended(trial.key, Outcome.OK, 0.005, "boot1", False), 30.005)
     again, commands = session.offer(30.01)
     assert commands == [SendQuery(again)], "what the trial showed counts at once"
 
@@ -304,7 +304,7 @@
 def test_failed_trial_is_followed_by_a_pause(failure: Outcome) -> None:
     session = slow_line()
     trial, _ = session.offer(30.0)
-    session.line.ended(Ended(trial.key, failure, 0.005, "boot1", False), 30.005)
+    session.scheduler.ended(Ended(trial.key, failure, 0.005, "boot1", False), 30.005)
     assert outcomes(session.offer(30.05)[1]) == [Outcome.SHED]
     later, commands = session.offer(31.2)
     assert commands == [SendQuery(later)]
@@ -313,7 +313,7 @@
 def test_withdrawn_trial_leaves_room_for_the_next() -> None:
     session = slow_line()
     trial, _ = session.offer(30.0)
-    session.line.withdraw(trial.key, 30.2)
+    session.scheduler.withdraw(trial.key, 30.2)
     later, commands = session.offer(31.5)
     assert commands == [SendQuery(later)]
 
@@ -327,14 +327,14 @@
 )
 def test_restarted_target_is_tried_at_once(boot: str, expected: bool) -> None:
     """Four failed trials have left it out for eight seconds; then its health page comes."""
-    session = LineSession()
+    session = SchedulerSession()
     now = eject(session)
     for pause_s in (0.6, 1.1, 2.1, 4.1):
         now += pause_s
         trial, _ = session.offer(now)
         session.end(trial, Outcome.FAILED, now)
     assert outcomes(session.offer(now + 2.0)[1]) == [Outcome.EJECTED]
-    session.line.health(True, boot, False, now + 2.0)
+    session.scheduler.health(True, boot, False, now + 2.0)
     work, commands = session.offer(now + 2.1)
     assert (commands == [SendQuery(work)]) is expected
     assert outcomes(session.offer(now + 2.1)[1]) == [Outcome.EJECTED], "one trial at a time"
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -39,7 +39,7 @@
 APPLY = "tests/files/test_apply.py::"
 STORED = "tests/files/test_stored.py::"
 KEEPER = "tests/files/test_keeper.py::"
-LINE = "tests/dispatch/test_line.py::"
+LINE = "tests/dispatch/test_target_scheduler.py::"
 SHARING = "tests/dispatch/test_sharing.py::"
 PAUSES = "tests/dispatch/test_service_time.py::"
 REPLICAS = "tests/gateway/test_board.py::"
@@ -188,9 +188,9 @@
         TRUTH,
         OWN,
         "an answer with another nonce, without its end, in half, of a refusal",
-        "tests/dispatch/test_judge.py::test_only_its_own_whole_answer_counts",
+        "tests/dispatch/test_reply_classifier.py::test_only_its_own_whole_answer_counts",
         Mutant(
-            "trackwheel/dispatch/judge.py",
+            "trackwheel/dispatch/reply_classifier.py",
             "own = head.nonce == work.key.wire() and head.end",
             "own = True",
         ),
@@ -199,9 +199,9 @@
         TRUTH,
         NOT_RUN,
         "refusals of a permitted request that prove nothing",
-        "tests/dispatch/test_judge.py::test_only_its_own_refusal_proves_that_it_was_not_run",
+        "tests/dispatch/test_reply_classifier.py::test_only_its_own_refusal_proves_that_it_was_not_run",
         Mutant(
-            "trackwheel/dispatch/judge.py",
+            "trackwheel/dispatch/reply_classifier.py",
             "            if refusal.nonce == work.key.wire():\n",
             "            if True:\n",
         ),
@@ -286,7 +286,7 @@
         "queued work that can no longer end in time",
         LINE + "test_late_work_is_dropped_when_this_is_known",
         Mutant(
-            "trackwheel/dispatch/line.py",
+            "trackwheel/dispatch/target_scheduler.py",
             "drop_before(now + self._limiter.likely_s)",
             "drop_before(now)",
         ),
@@ -364,7 +364,7 @@
         SHARE,
         "a target is slow for a second, so that nothing seems to end in time",
         SHARING + "test_target_that_was_slow_for_a_second_is_used_again",
-        Mutant("trackwheel/dispatch/line.py", "self._trial.allows(now)", "False"),
+        Mutant("trackwheel/dispatch/target_scheduler.py", "self._trial.allows(now)", "False"),
     ),
     Row(
         LOAD,
@@ -387,7 +387,7 @@
         "each of five signs",
         LINE + "test_leaving_target_gets_no_new_work",
         Mutant(
-            "trackwheel/dispatch/line.py",
+            "trackwheel/dispatch/target_scheduler.py",
             "        if self.leaving:\n            return [Refuse(work, Outcome.LEAVING",
             "        if False:\n            return [Refuse(work, Outcome.LEAVING",
         ),
@@ -398,7 +398,7 @@
         "a health page that lies, an old boot's word, a new boot",
         LINE + "test_only_a_new_boot_ends_leaving",
         Mutant(
-            "trackwheel/dispatch/line.py",
+            "trackwheel/dispatch/target_scheduler.py",
             "        if boot != self._boot:\n            if self._boot:\n",
             "        if not leaving or boot != self._boot:\n"
             "            self._leaving_boots.clear()\n            if self._boot:\n",
@@ -1607,7 +1607,7 @@
         "an owner missed a restart of the target of which others say that it leaves",
         LINE + "test_word_of_a_boot_not_met_yet_ends_new_work_until_the_target_speaks",
         Mutant(
-            "trackwheel/dispatch/line.py",
+            "trackwheel/dispatch/target_scheduler.py",
             "if boot in self._past_boots:\n            return []\n        self._leaving = True",
             'if self._boot not in ("", boot):\n            return []\n        self._leaving = True',
         ),
@@ -1618,7 +1618,7 @@
         "an answer of an earlier boot comes late",
         LINE + "test_late_answer_of_an_earlier_boot_hides_no_report",
         Mutant(
-            "trackwheel/dispatch/line.py",
+            "trackwheel/dispatch/target_scheduler.py",
             "boot = boot or self._boot\n        if boot in self._past_boots:",
             "if False:",
         ),
--- a/trackwheel/dispatch/const.py
+++ b/trackwheel/dispatch/const.py
@@ -30,7 +30,7 @@
 EJECT_LAST_S: Final = 30.0
 
 HEALTH_PERIOD_S: Final = 1.0
-LINE_IDLE_S: Final = 60.0
+SCHEDULER_IDLE_S: Final = 60.0
 PERMIT_TIMEOUT_S: Final = 1.0
 EXECUTE_TIMEOUT_S: Final = 20.0
 """How long a permitted request may run at its target before its outcome is unknown."""
--- a/trackwheel/dispatch/exchange.py
+++ b/trackwheel/dispatch/exchange.py
@@ -10,8 +10,12 @@
 from trackwheel.dispatch.const import EXECUTE_TIMEOUT_S, LEAST_RETRY_AFTER_S
 from trackwheel.dispatch.events import Event, Exchanged, HealthRead
 from trackwheel.dispatch.guard import SendGuard
-from trackwheel.dispatch.judge import judge_execute, judge_query, outcome_of_run
 from trackwheel.dispatch.models import Ended, ExecuteAnswer, Outcome, RunOutcome, Work, WorkKey
+from trackwheel.dispatch.reply_classifier import (
+    classify_execute_reply,
+    classify_query_reply,
+    outcome_of_run,
+)
 from trackwheel.peers.hub import Hub
 from trackwheel.targets.const import HEALTH_TIMEOUT_S, PATH_EXECUTE, PATH_HEALTH, PATH_QUERY
 from trackwheel.targets.errors import TargetBrokenError, TargetUnreachableError
@@ -64,7 +68,7 @@
             left_ms = (work.deadline - started) * 1000
             try:
                 reply = await self._client.post(work.target, PATH_QUERY, body, left_ms)
-                outcome, holds = judge_query(work, reply)
+                outcome, holds = classify_query_reply(work, reply)
                 self._guard.replied(work, outcome, reply)
             except (TargetUnreachableError, TargetBrokenError) as error:
                 outcome = Outcome.FAILED
@@ -92,7 +96,7 @@
             try:
                 left_ms = EXECUTE_TIMEOUT_S * 1000
                 reply = await self._client.post(work.target, PATH_EXECUTE, body, left_ms)
-                run, reason = judge_execute(work, reply)
+                run, reason = classify_execute_reply(work, reply)
                 self._guard.replied(work, outcome_of_run(run, reply), reply)
             except TargetUnreachableError as error:
                 run, reason = RunOutcome.NOT_RUN, Outcome.FAILED
--- a/trackwheel/dispatch/models.py
+++ b/trackwheel/dispatch/models.py
@@ -245,7 +245,7 @@
 )
 
 
-class LineEstimate(NamedTuple):
+class TargetEstimate(NamedTuple):
     """Describe what an owner expects of a target (seconds)."""
 
     mean_s: float
--- a/trackwheel/dispatch/owner.py
+++ b/trackwheel/dispatch/owner.py
@@ -3,26 +3,26 @@
 from typing import NamedTuple
 
 from trackwheel.dispatch.const import LEAST_RETRY_AFTER_S, MAX_NOTES
-from trackwheel.dispatch.line import TargetLine
 from trackwheel.dispatch.models import (
     DispatchCommand,
     Ended,
     ExecuteAsk,
-    LineEstimate,
     Outcome,
     PermitUnused,
     Refuse,
     Scatter,
+    TargetEstimate,
     Withdraw,
     Work,
     WorkKey,
 )
-from trackwheel.dispatch.wakes import Wakes
+from trackwheel.dispatch.target_scheduler import TargetScheduler
+from trackwheel.dispatch.wake_schedule import WakeSchedule
 from trackwheel.files.models import NOTHING_IN_FORCE, InForce, ServiceSpec
 from trackwheel.fleet.models import TargetNote
 
 
-class LineState(NamedTuple):
+class TargetState(NamedTuple):
     """Describe one target for metrics and operators."""
 
     target: str
@@ -39,40 +39,43 @@
     def __init__(self) -> None:
         self._in_force = NOTHING_IN_FORCE
         self._targets_by_service: dict[str, tuple[ServiceSpec, frozenset[str]]] = {}
-        self._line_by_target: dict[str, TargetLine] = {}
+        self._scheduler_by_target: dict[str, TargetScheduler] = {}
         self._note_by_target: dict[str, TargetNote] = {}
-        self._wakes = Wakes()
+        self._wake_schedule = WakeSchedule()
 
-    def states(self, now: float) -> list[LineState]:
-        """Return the state of every line."""
+    def states(self, now: float) -> list[TargetState]:
+        """Return the state of every scheduler."""
         return [
-            LineState(
-                line.target,
-                line.running,
-                line.waiting,
-                line.limit,
-                line.leaving,
-                line.ejected(now),
+            TargetState(
+                scheduler.target,
+                scheduler.running,
+                scheduler.waiting,
+                scheduler.limit,
+                scheduler.leaving,
+                scheduler.ejected(now),
             )
-            for line in self._line_by_target.values()
+            for scheduler in self._scheduler_by_target.values()
         ]
 
-    def estimate(self, target: str) -> LineEstimate | None:
-        """Return what is expected of a target, None when it has no line."""
-        line = self._line_by_target.get(target)
-        return line.estimate() if line is not None else None
+    def estimate(self, target: str) -> TargetEstimate | None:
+        """Return what is expected of a target, None when it has no scheduler."""
+        scheduler = self._scheduler_by_target.get(target)
+        return scheduler.estimate() if scheduler is not None else None
 
     def busy(self) -> bool:
         """Return whether any work waits or runs."""
-        return any(line.running or line.waiting for line in self._line_by_target.values())
+        return any(
+            scheduler.running or scheduler.waiting
+            for scheduler in self._scheduler_by_target.values()
+        )
 
     def set_in_force(self, in_force: InForce) -> list[DispatchCommand]:
         """Take the files in force; a target that they no longer name gets nothing new."""
         self._in_force = in_force
         commands: list[DispatchCommand] = []
-        for target, line in self._line_by_target.items():
-            removed = self._named(line.service, target) is None
-            commands += self._touched(line, line.set_removed(removed))
+        for target, scheduler in self._scheduler_by_target.items():
+            removed = self._named(scheduler.service, target) is None
+            commands += self._touched(scheduler, scheduler.set_removed(removed))
         return commands
 
     def _named(self, service_name: str, target: str) -> ServiceSpec | None:
@@ -127,40 +130,42 @@
         """Take sub-requests back."""
         commands: list[DispatchCommand] = []
         for ask in message.asks:
-            line = self._line_by_target.get(ask.target)
-            if line is not None:
+            scheduler = self._scheduler_by_target.get(ask.target)
+            if scheduler is not None:
                 key = WorkKey(gateway, message.query_id, ask.nonce, ask.target)
-                commands += self._touched(line, line.withdraw(key, now))
+                commands += self._touched(scheduler, scheduler.withdraw(key, now))
         return commands
 
     def gateway_lost(self, gateway: str, now: float) -> list[DispatchCommand]:
         """Take back everything of a gateway that nobody can answer any more."""
         commands: list[DispatchCommand] = []
-        for line in self._line_by_target.values():
-            for key in line.keys_of(gateway):
-                commands += self._touched(line, line.withdraw(key, now))
+        for scheduler in self._scheduler_by_target.values():
+            for key in scheduler.keys_of(gateway):
+                commands += self._touched(scheduler, scheduler.withdraw(key, now))
         return commands
 
     def permit(self, key: WorkKey, granted: bool, now: float) -> list[DispatchCommand]:
         """Take a gateway's answer to a permit request."""
-        line = self._line_by_target.get(key.target)
-        if line is None:
+        scheduler = self._scheduler_by_target.get(key.target)
+        if scheduler is None:
             return [PermitUnused(key)] if granted else []
-        return self._touched(line, line.permit(key, granted, now))
+        return self._touched(scheduler, scheduler.permit(key, granted, now))
 
     def ended(self, event: Ended, now: float) -> list[DispatchCommand]:
         """Take the end of a request at a target."""
-        line = self._line_by_target.get(event.key.target)
-        return self._touched(line, line.ended(event, now)) if line is not None else []
+        scheduler = self._scheduler_by_target.get(event.key.target)
+        return (
+            self._touched(scheduler, scheduler.ended(event, now)) if scheduler is not None else []
+        )
 
     def health(
         self, target: str, reachable: bool, boot: str, leaving: bool, now: float
     ) -> list[DispatchCommand]:
         """Take what a target's health page says."""
-        line = self._line_by_target.get(target)
-        if line is None:
+        scheduler = self._scheduler_by_target.get(target)
+        if scheduler is None:
             return []
-        return self._touched(line, line.health(reachable, boot, leaving, now))
+        return self._touched(scheduler, scheduler.health(reachable, boot, leaving, now))
 
     def apply_leaving_report(self, notes: tuple[TargetNote, ...]) -> list[DispatchCommand]:
         """Take reports of other boxes that targets are leaving."""
@@ -170,38 +175,42 @@
             self._note_by_target[note.address] = note
             if len(self._note_by_target) > MAX_NOTES:
                 del self._note_by_target[next(iter(self._note_by_target))]
-            line = self._line_by_target.get(note.address)
-            if line is not None:
-                commands += self._touched(line, line.apply_leaving_report(note.target_boot))
+            scheduler = self._scheduler_by_target.get(note.address)
+            if scheduler is not None:
+                commands += self._touched(
+                    scheduler, scheduler.apply_leaving_report(note.target_boot)
+                )
         return commands
 
     def tick(self, now: float) -> list[DispatchCommand]:
         """Do what is due and forget lines that nobody uses."""
         commands: list[DispatchCommand] = []
-        for target in self._wakes.take_due(now):
-            line = self._line_by_target[target]
-            if line.idle(now):
-                del self._line_by_target[target]
+        for target in self._wake_schedule.take_due(now):
+            scheduler = self._scheduler_by_target[target]
+            if scheduler.idle(now):
+                del self._scheduler_by_target[target]
                 continue
-            commands += line.tick(now)
-            self._wakes.set(target, line.next_wake())
+            commands += scheduler.tick(now)
+            self._wake_schedule.set(target, scheduler.next_wake())
         return commands
 
     def next_wake(self) -> float:
         """Return when `tick` is next needed (seconds)."""
-        return self._wakes.next()
+        return self._wake_schedule.next()
 
-    def _touched(self, line: TargetLine, commands: list[DispatchCommand]) -> list[DispatchCommand]:
+    def _touched(
+        self, scheduler: TargetScheduler, commands: list[DispatchCommand]
+    ) -> list[DispatchCommand]:
         """Return the commands of a line that took an event, and note when it is next due."""
-        self._wakes.set(line.target, line.next_wake())
+        self._wake_schedule.set(scheduler.target, scheduler.next_wake())
         return commands
 
     def delay(self, work: Work, now: float) -> float:
         """Return how long more work like this would wait (seconds)."""
-        line = self._line_by_target.get(work.target)
-        if line is None:
+        scheduler = self._scheduler_by_target.get(work.target)
+        if scheduler is None:
             return 0.0
-        return line.delay(work.group, self._share(work.group), work.deadline, now)
+        return scheduler.delay(work.group, self._share(work.group), work.deadline, now)
 
     def _share(self, group: str) -> float:
         spec = self._in_force.group_by_name.get(group)
@@ -212,13 +221,15 @@
         if service is None:
             return [Refuse(work, Outcome.UNKNOWN_TARGET, 0.0, LEAST_RETRY_AFTER_S)]
         commands: list[DispatchCommand] = []
-        line = self._line_by_target.get(work.target)
-        if line is None:
-            line = TargetLine(work.target, service, now)
-            self._line_by_target[work.target] = line
+        scheduler = self._scheduler_by_target.get(work.target)
+        if scheduler is None:
+            scheduler = TargetScheduler(work.target, service, now)
+            self._scheduler_by_target[work.target] = scheduler
             note = self._note_by_target.get(work.target)
-            commands += line.first_commands
+            commands += scheduler.first_commands
             if note is not None:
-                commands += self._touched(line, line.apply_leaving_report(note.target_boot))
-        offered = line.offer(work, self._share(work.group), now)
-        return commands + self._touched(line, offered)
+                commands += self._touched(
+                    scheduler, scheduler.apply_leaving_report(note.target_boot)
+                )
+        offered = scheduler.offer(work, self._share(work.group), now)
+        return commands + self._touched(scheduler, offered)
--- a/trackwheel/dispatch/judge.py
+++ b/trackwheel/dispatch/reply_classifier.py
@@ -18,7 +18,7 @@
 STATUSES_SHED: Final = (429, 503)
 
 
-def judge_query(work: Work, reply: TargetReply) -> tuple[Outcome, list[int]]:
+def classify_query_reply(work: Work, reply: TargetReply) -> tuple[Outcome, list[int]]:
     """Return how a sub-request ended; an answer that is not its own counts as failed."""
     try:
         if reply.status == STATUS_OK:
@@ -35,7 +35,7 @@
     return Outcome.FAILED, []
 
 
-def judge_execute(work: Work, reply: TargetReply) -> tuple[RunOutcome, str]:
+def classify_execute_reply(work: Work, reply: TargetReply) -> tuple[RunOutcome, str]:
     """Return what is known of permitted work; only the work's own nonce proves anything."""
     try:
         if reply.status == STATUS_OK:
--- a/trackwheel/dispatch/service.py
+++ b/trackwheel/dispatch/service.py
@@ -43,7 +43,7 @@
     Work,
     WorkKey,
 )
-from trackwheel.dispatch.owner import LineState, Owner
+from trackwheel.dispatch.owner import Owner, TargetState
 from trackwheel.files.models import InForce
 from trackwheel.fleet.models import TargetNote
 from trackwheel.inbox import Inbox
@@ -91,7 +91,7 @@
         """Return whether any work waits or runs."""
         return self._owner.busy()
 
-    def states(self) -> list[LineState]:
+    def states(self) -> list[TargetState]:
         """Return the state of every target that is in use."""
         return self._owner.states(steady_now())
 
--- a/trackwheel/dispatch/line.py
+++ b/trackwheel/dispatch/target_scheduler.py
@@ -6,9 +6,9 @@
     ADMIT_MARGIN,
     HEALTH_PERIOD_S,
     LEAST_RETRY_AFTER_S,
-    LINE_IDLE_S,
     MAX_QUEUED_PER_TARGET,
     PERMIT_TIMEOUT_S,
+    SCHEDULER_IDLE_S,
     WAKE_MARGIN_S,
 )
 from trackwheel.dispatch.ejection import Ejection
@@ -20,13 +20,13 @@
     CheckHealth,
     DispatchCommand,
     Ended,
-    LineEstimate,
     Outcome,
     PermitUnused,
     Refuse,
     ReportLeaving,
     SendExecute,
     SendQuery,
+    TargetEstimate,
     Warm,
     Work,
     WorkKey,
@@ -45,7 +45,7 @@
     permit_until: float | None
 
 
-class TargetLine:
+class TargetScheduler:
     """Decide, from events and the time, what goes to one target."""
 
     def __init__(self, target: str, service: ServiceSpec, now: float) -> None:
@@ -90,10 +90,10 @@
         """Return how many requests may run at a time."""
         return self._limiter.limit
 
-    def estimate(self) -> LineEstimate:
+    def estimate(self) -> TargetEstimate:
         """Return what is expected of the target, for the log."""
         limiter = self._limiter
-        return LineEstimate(
+        return TargetEstimate(
             limiter.mean_s,
             limiter.likely_s,
             limiter.service_time.learnt_at,
@@ -109,7 +109,7 @@
     def idle(self, now: float) -> bool:
         """Return whether nothing has been asked of the target for long."""
         busy = self._run_by_key or len(self._queue)
-        return not busy and now - self._used_at > LINE_IDLE_S
+        return not busy and now - self._used_at > SCHEDULER_IDLE_S
 
     def delay(self, group: str, share: float, deadline: float, now: float) -> float:
         """Return how long new work of a group would wait for a slot (seconds)."""
--- a/trackwheel/dispatch/wakes.py
+++ b/trackwheel/dispatch/wake_schedule.py
@@ -3,7 +3,7 @@
 import heapq
 
 
-class Wakes:
+class WakeSchedule:
     """Keep one wake time for each key; earlier ones are found first (seconds)."""
 
     def __init__(self) -> None:
