--- a/bench/one_target.py
+++ b/bench/one_target.py
@@ -57,7 +57,7 @@
         service = ServiceSpec("s", claimed, connections, 0.006, 0.05, 0.99, policy, ())
         self.lines = [TargetScheduler("t", service, 0.0) for _ in range(lines)]
         for line in self.lines:
-            self.perform(line.first_commands)
+            self.perform(line.initial_commands)
 
     @property
     def line(self) -> TargetScheduler:
@@ -124,7 +124,7 @@
 
     def _healthy(self) -> None:
         for line in self.lines:
-            self.perform(line.health(True, "boot", False, self.now))
+            self.perform(line.apply_health_page(True, "boot", False, self.now))
 
     def _serve(self, work: Work) -> None:
         self._sent += 1
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -150,7 +150,7 @@
 
     for number in range(groups):
         scatter(f"g{number}")
-    take(owner.health(target, True, "b", False, 0.0))
+    take(owner.apply_health_page(target, True, "b", False, 0.0))
 
     def work() -> None:
         state["now"] += 0.005
@@ -182,7 +182,7 @@
     for number, address in enumerate(addresses):
         ask = Ask(number, address, False)
         owner.scatter("gateway", Scatter("q", "s", "g", 1e6, 1, "x", [ask]), 0.0)
-        owner.health(address, True, "b", False, 0.0)
+        owner.apply_health_page(address, True, "b", False, 0.0)
     return owner
 
 
--- a/tests/dispatch/test_target_scheduler.py
+++ b/tests/dispatch/test_target_scheduler.py
@@ -33,7 +33,7 @@
         self.scheduler = TargetScheduler("t", service, 0.0)
         self.number = 0
         if warm:
-            self.scheduler.health(True, "boot1", False, 0.0)
+            self.scheduler.apply_health_page(True, "boot1", False, 0.0)
 
     def work(self, deadline: float = 1.0, once: bool = False, last_resort: bool = False) -> Work:
         self.number += 1
@@ -57,10 +57,13 @@
 
 def test_cold_line_reads_the_health_page_before_it_sends() -> None:
     session = SchedulerSession(warm=False)
-    assert any(isinstance(command, CheckHealth) for command in session.scheduler.first_commands)
+    assert any(isinstance(command, CheckHealth) for command in session.scheduler.initial_commands)
     _, commands = session.offer()
     assert commands == []
-    assert any(isinstance(c, SendQuery) for c in session.scheduler.health(True, "b", False, 0.001))
+    assert any(
+        isinstance(c, SendQuery)
+        for c in session.scheduler.apply_health_page(True, "b", False, 0.001)
+    )
 
 
 def test_cold_line_does_not_wait_for_a_health_page_for_ever() -> None:
@@ -74,7 +77,7 @@
 SIGNS: list[tuple[str, Callable[[SchedulerSession, Work], Commands]]] = [
     ("answer", lambda s, w: s.end(w, Outcome.OK, 0.01, leaving=True)),
     ("refusal", lambda s, w: s.end(w, Outcome.LEAVING, 0.01, leaving=True)),
-    ("health-page", lambda s, w: s.scheduler.health(True, "boot1", True, 0.01)),
+    ("health-page", lambda s, w: s.scheduler.apply_health_page(True, "boot1", True, 0.01)),
     ("other-box", lambda s, w: s.scheduler.apply_leaving_report("boot1")),
     ("file", lambda s, w: s.scheduler.set_removed(True)),
 ]
@@ -96,7 +99,7 @@
 def test_running_work_of_a_leaving_target_is_left_to_end() -> None:
     session = SchedulerSession()
     work, _ = session.offer()
-    commands = session.scheduler.health(True, "boot1", True, 0.01)
+    commands = session.scheduler.apply_health_page(True, "boot1", True, 0.01)
     assert not any(isinstance(command, CancelSend) for command in commands)
     assert session.scheduler.running == 1
     assert session.end(work, Outcome.OK, 0.02) == []
@@ -112,16 +115,16 @@
 )
 def test_only_a_new_boot_ends_leaving(boot: str, leaving: bool, returns: bool) -> None:
     session = SchedulerSession()
-    told = session.scheduler.health(True, "boot1", True, 0.01)
+    told = session.scheduler.apply_health_page(True, "boot1", True, 0.01)
     assert ReportLeaving("t", "boot1") in told
-    session.scheduler.health(True, boot, leaving, 5.0)
+    session.scheduler.apply_health_page(True, boot, leaving, 5.0)
     refused = outcomes(session.offer(5.1)[1]) == [Outcome.LEAVING]
     assert refused is not returns
 
 
 def test_late_word_of_an_old_boot_changes_nothing() -> None:
     session = SchedulerSession()
-    session.scheduler.health(True, "boot2", False, 1.0)
+    session.scheduler.apply_health_page(True, "boot2", False, 1.0)
     session.scheduler.apply_leaving_report("boot1")
     assert outcomes(session.offer(1.1)[1]) == []
 
@@ -132,16 +135,16 @@
     commands = session.scheduler.apply_leaving_report("boot2")
     assert CheckHealth("t") in commands
     assert outcomes(session.offer(0.1)[1]) == [Outcome.LEAVING]
-    session.scheduler.health(True, "boot2", False, 0.2)
+    session.scheduler.apply_health_page(True, "boot2", False, 0.2)
     assert outcomes(session.offer(0.3)[1]) == [Outcome.LEAVING], "its page lies"
-    session.scheduler.health(True, "boot3", False, 0.4)
+    session.scheduler.apply_health_page(True, "boot3", False, 0.4)
     assert outcomes(session.offer(0.5)[1]) == []
 
 
 def test_word_of_a_boot_before_the_first_one_met_is_over_with_the_next_page() -> None:
     session = SchedulerSession()
     session.scheduler.apply_leaving_report("boot0")
-    session.scheduler.health(True, "boot1", False, 0.1)
+    session.scheduler.apply_health_page(True, "boot1", False, 0.1)
     assert outcomes(session.offer(0.2)[1]) == []
 
 
@@ -149,11 +152,11 @@
 def test_late_answer_of_an_earlier_boot_hides_no_report(late: str) -> None:
     """A report on the target's boot would be passed over as one on an earlier boot."""
     session = SchedulerSession()
-    session.scheduler.health(True, "boot2", False, 0.1)
-    session.scheduler.health(True, late, False, 0.2)
+    session.scheduler.apply_health_page(True, "boot2", False, 0.1)
+    session.scheduler.apply_health_page(True, late, False, 0.2)
     session.scheduler.apply_leaving_report("boot2")
     assert outcomes(session.offer(0.3)[1]) == [Outcome.LEAVING]
-    session.scheduler.health(True, late, False, 0.4)
+    session.scheduler.apply_health_page(True, late, False, 0.4)
     assert outcomes(session.offer(0.5)[1]) == [Outcome.LEAVING]
 
 
@@ -334,7 +337,7 @@
         trial, _ = session.offer(now)
         session.end(trial, Outcome.FAILED, now)
     assert outcomes(session.offer(now + 2.0)[1]) == [Outcome.EJECTED]
-    session.scheduler.health(True, boot, False, now + 2.0)
+    session.scheduler.apply_health_page(True, boot, False, now + 2.0)
     work, commands = session.offer(now + 2.1)
     assert (commands == [SendQuery(work)]) is expected
     assert outcomes(session.offer(now + 2.1)[1]) == [Outcome.EJECTED], "one trial at a time"
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -326,7 +326,7 @@
         SHARING + "test_limit_finds_the_true_slots",
         Mutant(
             "trackwheel/dispatch/limiter.py",
-            "        best = self._best_level()\n        if best != self.limit:",
+            "        best = self._best_concurrency()\n        if best != self.limit:",
             "        best = self.limit\n        if best != self.limit:",
         ),
     ),
@@ -337,8 +337,8 @@
         SHARING + "test_connection_cap_is_never_passed",
         Mutant(
             "trackwheel/dispatch/limiter.py",
-            "self._cap = max(1, connections - SPARE_CONNECTIONS)",
-            "self._cap = 1000",
+            "self._max_limit = max(1, connections - RESERVED_CONNECTIONS)",
+            "self._max_limit = 1000",
         ),
     ),
     Row(
@@ -1539,8 +1539,8 @@
         PAUSES + "test_work_that_waited_out_a_pause_is_done",
         Mutant(
             "trackwheel/stalls.py",
-            "most_s = STALL_FACTOR * usual_s",
-            'most_s = float("inf")',
+            "max_s = STALL_FACTOR * usual_s",
+            'max_s = float("inf")',
         ),
     ),
     Row(
--- a/trackwheel/dispatch/exchange.py
+++ b/trackwheel/dispatch/exchange.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from trackwheel.clock import steady_now
-from trackwheel.dispatch.const import EXECUTE_TIMEOUT_S, LEAST_RETRY_AFTER_S
+from trackwheel.dispatch.const import EXECUTE_TIMEOUT_S, MIN_RETRY_AFTER_S
 from trackwheel.dispatch.events import Event, Exchanged, HealthRead
 from trackwheel.dispatch.guard import SendGuard
 from trackwheel.dispatch.models import Ended, ExecuteAnswer, Outcome, RunOutcome, Work, WorkKey
@@ -107,7 +107,7 @@
         outcome = outcome_of_run(run, reply)
         service_s = steady_now() - started
         self._put(_exchanged(work, outcome, service_s, reply, []))
-        retry_ms = 1000 * max(LEAST_RETRY_AFTER_S, reply.retry_after_s if reply else 0.0)
+        retry_ms = 1000 * max(MIN_RETRY_AFTER_S, reply.retry_after_s if reply else 0.0)
         done = reply.body if reply is not None and run is RunOutcome.DONE else b""
         answer = ExecuteAnswer(work.key.query_id, work.key.nonce, run, reason, done, retry_ms)
         self._hub.send(work.key.gateway, answer)
@@ -142,5 +142,5 @@
     leaving = reply is not None and reply.draining
     ended = Ended(work.key, outcome, service_s, boot, leaving)
     body = reply.body if reply is not None and outcome is Outcome.OK else b""
-    retry_s = max(LEAST_RETRY_AFTER_S, reply.retry_after_s if reply is not None else 0.0)
+    retry_s = max(MIN_RETRY_AFTER_S, reply.retry_after_s if reply is not None else 0.0)
     return Exchanged(ended, work, body, holds, retry_s)
--- a/trackwheel/dispatch/owner.py
+++ b/trackwheel/dispatch/owner.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from trackwheel.dispatch.const import LEAST_RETRY_AFTER_S, MAX_NOTES
+from trackwheel.dispatch.const import MAX_LEAVING_REPORTS, MIN_RETRY_AFTER_S
 from trackwheel.dispatch.models import (
     DispatchCommand,
     Ended,
@@ -40,7 +40,7 @@
         self._in_force = NOTHING_IN_FORCE
         self._targets_by_service: dict[str, tuple[ServiceSpec, frozenset[str]]] = {}
         self._scheduler_by_target: dict[str, TargetScheduler] = {}
-        self._note_by_target: dict[str, TargetNote] = {}
+        self._leaving_report_by_target: dict[str, TargetNote] = {}
         self._wake_schedule = WakeSchedule()
 
     def states(self, now: float) -> list[TargetState]:
@@ -74,11 +74,11 @@
         self._in_force = in_force
         commands: list[DispatchCommand] = []
         for target, scheduler in self._scheduler_by_target.items():
-            removed = self._named(scheduler.service, target) is None
-            commands += self._touched(scheduler, scheduler.set_removed(removed))
+            removed = self._service_of_target(scheduler.service, target) is None
+            commands += self._reschedule(scheduler, scheduler.set_removed(removed))
         return commands
 
-    def _named(self, service_name: str, target: str) -> ServiceSpec | None:
+    def _service_of_target(self, service_name: str, target: str) -> ServiceSpec | None:
         """Return the service if the files in force name the target in it.
 
         Only services that are asked for are looked through, so that a change of files costs
@@ -87,12 +87,12 @@
         service = self._in_force.service_by_name.get(service_name)
         if service is None:
             return None
-        held = self._targets_by_service.get(service_name)
-        if held is None or held[0] is not service:
+        cached = self._targets_by_service.get(service_name)
+        if cached is None or cached[0] is not service:
             instances = service.targets_by_instance
             addresses = frozenset(t.address for instance in instances for t in instance)
-            held = self._targets_by_service[service_name] = (service, addresses)
-        return service if target in held[1] else None
+            cached = self._targets_by_service[service_name] = (service, addresses)
+        return service if target in cached[1] else None
 
     def scatter(self, gateway: str, message: Scatter, now: float) -> list[DispatchCommand]:
         """Take a query's sub-requests."""
@@ -133,15 +133,15 @@
             scheduler = self._scheduler_by_target.get(ask.target)
             if scheduler is not None:
                 key = WorkKey(gateway, message.query_id, ask.nonce, ask.target)
-                commands += self._touched(scheduler, scheduler.withdraw(key, now))
+                commands += self._reschedule(scheduler, scheduler.withdraw(key, now))
         return commands
 
     def gateway_lost(self, gateway: str, now: float) -> list[DispatchCommand]:
         """Take back everything of a gateway that nobody can answer any more."""
         commands: list[DispatchCommand] = []
         for scheduler in self._scheduler_by_target.values():
-            for key in scheduler.keys_of(gateway):
-                commands += self._touched(scheduler, scheduler.withdraw(key, now))
+            for key in scheduler.keys_from(gateway):
+                commands += self._reschedule(scheduler, scheduler.withdraw(key, now))
         return commands
 
     def permit(self, key: WorkKey, granted: bool, now: float) -> list[DispatchCommand]:
@@ -149,35 +149,39 @@
         scheduler = self._scheduler_by_target.get(key.target)
         if scheduler is None:
             return [PermitUnused(key)] if granted else []
-        return self._touched(scheduler, scheduler.permit(key, granted, now))
+        return self._reschedule(scheduler, scheduler.permit(key, granted, now))
 
     def ended(self, event: Ended, now: float) -> list[DispatchCommand]:
         """Take the end of a request at a target."""
         scheduler = self._scheduler_by_target.get(event.key.target)
         return (
-            self._touched(scheduler, scheduler.ended(event, now)) if scheduler is not None else []
+            self._reschedule(scheduler, scheduler.ended(event, now))
+            if scheduler is not None
+            else []
         )
 
-    def health(
+    def apply_health_page(
         self, target: str, reachable: bool, boot: str, leaving: bool, now: float
     ) -> list[DispatchCommand]:
         """Take what a target's health page says."""
         scheduler = self._scheduler_by_target.get(target)
         if scheduler is None:
             return []
-        return self._touched(scheduler, scheduler.health(reachable, boot, leaving, now))
+        return self._reschedule(
+            scheduler, scheduler.apply_health_page(reachable, boot, leaving, now)
+        )
 
     def apply_leaving_report(self, notes: tuple[TargetNote, ...]) -> list[DispatchCommand]:
         """Take reports of other boxes that targets are leaving."""
         commands: list[DispatchCommand] = []
         for note in notes:
-            self._note_by_target.pop(note.address, None)
-            self._note_by_target[note.address] = note
-            if len(self._note_by_target) > MAX_NOTES:
-                del self._note_by_target[next(iter(self._note_by_target))]
+            self._leaving_report_by_target.pop(note.address, None)
+            self._leaving_report_by_target[note.address] = note
+            if len(self._leaving_report_by_target) > MAX_LEAVING_REPORTS:
+                del self._leaving_report_by_target[next(iter(self._leaving_report_by_target))]
             scheduler = self._scheduler_by_target.get(note.address)
             if scheduler is not None:
-                commands += self._touched(
+                commands += self._reschedule(
                     scheduler, scheduler.apply_leaving_report(note.target_boot)
                 )
         return commands
@@ -198,7 +202,7 @@
         """Return when `tick` is next needed (seconds)."""
         return self._wake_schedule.next()
 
-    def _touched(
+    def _reschedule(
         self, scheduler: TargetScheduler, commands: list[DispatchCommand]
     ) -> list[DispatchCommand]:
         """Return the commands of a line that took an event, and note when it is next due."""
@@ -217,19 +221,19 @@
         return spec.share if spec is not None else 1.0
 
     def _offer(self, work: Work, now: float) -> list[DispatchCommand]:
-        service = self._named(work.service, work.target)
+        service = self._service_of_target(work.service, work.target)
         if service is None:
-            return [Refuse(work, Outcome.UNKNOWN_TARGET, 0.0, LEAST_RETRY_AFTER_S)]
+            return [Refuse(work, Outcome.UNKNOWN_TARGET, 0.0, MIN_RETRY_AFTER_S)]
         commands: list[DispatchCommand] = []
         scheduler = self._scheduler_by_target.get(work.target)
         if scheduler is None:
             scheduler = TargetScheduler(work.target, service, now)
             self._scheduler_by_target[work.target] = scheduler
-            note = self._note_by_target.get(work.target)
-            commands += scheduler.first_commands
+            note = self._leaving_report_by_target.get(work.target)
+            commands += scheduler.initial_commands
             if note is not None:
-                commands += self._touched(
+                commands += self._reschedule(
                     scheduler, scheduler.apply_leaving_report(note.target_boot)
                 )
         offered = scheduler.offer(work, self._share(work.group), now)
-        return commands + self._touched(scheduler, offered)
+        return commands + self._reschedule(scheduler, offered)
--- a/trackwheel/dispatch/service.py
+++ b/trackwheel/dispatch/service.py
@@ -6,7 +6,7 @@
 import anyio.abc
 
 from trackwheel.clock import steady_now
-from trackwheel.dispatch.const import LEAST_RETRY_AFTER_S
+from trackwheel.dispatch.const import MIN_RETRY_AFTER_S
 from trackwheel.dispatch.events import (
     Event,
     Exchanged,
@@ -137,7 +137,7 @@
                 self._answer(event, now)
                 return commands
             case HealthRead():
-                return self._owner.health(*event, now)
+                return self._owner.apply_health_page(*event, now)
             case GatewayLost(gateway):
                 return self._owner.gateway_lost(gateway, now)
             case InForceChanged(in_force):
@@ -226,7 +226,7 @@
         self._hub.send(key.gateway, request)
 
     def _return_permit(self, key: WorkKey) -> None:
-        reason, retry_ms = "permit_late", LEAST_RETRY_AFTER_S * 1000
+        reason, retry_ms = "permit_late", MIN_RETRY_AFTER_S * 1000
         answer = ExecuteAnswer(key.query_id, key.nonce, RunOutcome.NOT_RUN, reason, b"", retry_ms)
         self._hub.send(key.gateway, answer)
 
--- a/trackwheel/dispatch/service_time.py
+++ b/trackwheel/dispatch/service_time.py
@@ -1,6 +1,6 @@
-"""How long a target takes for a request, learnt from answers (seconds)."""
+"""Estimated service time of a target, from measured requests (seconds)."""
 
-from trackwheel.dispatch.const import DEFAULT_SERVICE_S, LIKELY_DEVIATIONS, SMOOTHING
+from trackwheel.dispatch.const import DEFAULT_SERVICE_S, LIKELY_DEVIATIONS, SERVICE_TIME_SMOOTHING
 from trackwheel.stalls import STALL_FACTOR, StallFilter
 
 
@@ -17,19 +17,20 @@
 
     @property
     def likely_s(self) -> float:
-        """Return a service time that most requests stay under (seconds)."""
+        """Return a service time that most requests do not exceed (seconds)."""
         return self.mean_s + LIKELY_DEVIATIONS * self._deviation_s
 
     @property
-    def stall_s(self) -> float:
-        """Return from which time on a request has stalled (seconds).
+    def stall_threshold_s(self) -> float:
+        """Return the service time above which a request counts as stalled (seconds).
 
-        The first answer may have met a pause, and the mean is a guess until the second one.
+        A slow first request may have been delayed by a pause, so the mean keeps its default
+        until a second request is measured. The first one raises the threshold until then.
         """
         return STALL_FACTOR * max(self.mean_s, self._unconfirmed_s)
 
     def add(self, started: float, service_s: float, now: float) -> float | None:
-        """Take a finished request; return the time that was learnt from it, None for none."""
+        """Add a finished request; return the time added to the estimate, None if it was ignored."""
         learnt_s = self._stalls.admit(started, service_s, self.mean_s, now)
         if not self._measured and learnt_s != service_s:
             self._unconfirmed_s = max(self._unconfirmed_s, service_s)
@@ -42,12 +43,12 @@
             self.mean_s = learnt_s
         self.learnt_at = now
         deviation_s = abs(learnt_s - self.mean_s)
-        self._deviation_s += SMOOTHING * (deviation_s - self._deviation_s)
-        self.mean_s += SMOOTHING * (learnt_s - self.mean_s)
+        self._deviation_s += SERVICE_TIME_SMOOTHING * (deviation_s - self._deviation_s)
+        self.mean_s += SERVICE_TIME_SMOOTHING * (learnt_s - self.mean_s)
         return learnt_s
 
     def replace(self, service_s: float) -> None:
-        """Take a service time in place of all that was learnt."""
+        """Replace the estimate by a single service time."""
         self.mean_s = service_s
         self._deviation_s = 0.0
-        self._stalls.forget()
+        self._stalls.reset()
--- a/trackwheel/dispatch/trial.py
+++ b/trackwheel/dispatch/trial.py
@@ -1,41 +1,41 @@
-"""When work is sent although the target is thought too slow for it, to see whether it still is.
+"""Trial requests to a target whose estimated service time exceeds the deadline of all work.
 
-Refused work teaches nothing: without trials a target that was slow for a second would be refused
-for ever.
+Refused work yields no new measurement: without trials, a target that was slow for a second would
+get no more work.
 """
 
-from trackwheel.dispatch.const import TRIAL_PAUSE_FIRST_S, TRIAL_PAUSE_LAST_S
+from trackwheel.dispatch.const import TRIAL_BACKOFF_INITIAL_S, TRIAL_BACKOFF_MAX_S
 from trackwheel.dispatch.models import WorkKey
 
 
 class Trial:
-    """Allow one trial at a time, and ever fewer while they fail (times in seconds)."""
+    """Allow one trial at a time, with exponential backoff after failures (times in seconds)."""
 
     def __init__(self) -> None:
         self._key: WorkKey | None = None
         self._next_at = 0.0
-        self._pause_s = TRIAL_PAUSE_FIRST_S
+        self._backoff_s = TRIAL_BACKOFF_INITIAL_S
 
     def allows(self, now: float) -> bool:
         """Return whether a trial may begin."""
         return self._key is None and now >= self._next_at
 
     def begin(self, key: WorkKey) -> None:
-        """Take which work is the trial."""
+        """Record the work that is sent as the trial."""
         self._key = key
 
-    def succeeded(self, key: WorkKey) -> bool:
-        """Take a good answer; return whether it was the trial's."""
+    def record_success(self, key: WorkKey) -> bool:
+        """Record a successful request; return whether it was the trial."""
         if key != self._key:
             return False
         self._key = None
-        self._pause_s = TRIAL_PAUSE_FIRST_S
+        self._backoff_s = TRIAL_BACKOFF_INITIAL_S
         return True
 
-    def ended(self, key: WorkKey, now: float) -> None:
-        """Take that work ended in any other way: after a trial the next one waits longer."""
+    def record_end(self, key: WorkKey, now: float) -> None:
+        """Record a request that did not succeed; if it was the trial, back off before the next."""
         if key != self._key:
             return
         self._key = None
-        self._next_at = now + self._pause_s
-        self._pause_s = min(TRIAL_PAUSE_LAST_S, self._pause_s * 2)
+        self._next_at = now + self._backoff_s
+        self._backoff_s = min(TRIAL_BACKOFF_MAX_S, self._backoff_s * 2)
