--- a/bench/one_target.py
+++ b/bench/one_target.py
@@ -10,9 +10,9 @@
 from trackwheel.dispatch.models import (
     CheckHealth,
     DispatchCommand,
-    Ended,
     Outcome,
     Refuse,
+    RequestEnded,
     SendQuery,
     Work,
     WorkKey,
@@ -151,7 +151,7 @@
             self.finished += 1
             self.late += self.now > work.deadline
             self.latency_by_group[work.group].append(self.now - arrived)
-        ended = Ended(work.key, outcome, service_s, "boot", False)
+        ended = RequestEnded(work.key, outcome, service_s, "boot", False)
         self.perform(self.lines[int(work.key.gateway)].ended(ended, self.now))
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -13,8 +13,8 @@
 from trackwheel.dispatch.models import (
     DISPATCH_MESSAGES,
     Ask,
-    Ended,
     Outcome,
+    RequestEnded,
     Scatter,
     SendQuery,
     SubAnswer,
@@ -155,7 +155,7 @@
     def work() -> None:
         state["now"] += 0.005
         scatter(f"g{int(state['number']) % groups}")
-        ended = Ended(running.pop(0).key, Outcome.OK, 0.005, "b", False)
+        ended = RequestEnded(running.pop(0).key, Outcome.OK, 0.005, "b", False)
         take(owner.ended(ended, state["now"]))
         owner.tick(state["now"])
 
--- a/tests/dispatch/test_service_time.py
+++ b/tests/dispatch/test_service_time.py
@@ -4,7 +4,7 @@
 
 from tests.dispatch.test_target_scheduler import Commands, SchedulerSession, outcomes
 from trackwheel.dispatch.const import EJECT_AFTER_STALLS
-from trackwheel.dispatch.models import Ended, Outcome, SendQuery, Work
+from trackwheel.dispatch.models import Outcome, RequestEnded, SendQuery, Work
 from trackwheel.dispatch.service_time import ServiceTime
 
 SERVICE_S = 0.004
@@ -33,7 +33,7 @@
         """Let all requests at the target end, each after the same time."""
         running, self.sent = self.sent, []
         for work in running:
-            ended = Ended(work.key, Outcome.OK, service_s, "boot1", False)
+            ended = RequestEnded(work.key, Outcome.OK, service_s, "boot1", False)
             self.take(self.scheduler.ended(ended, self.now))
 
     def serve(self, count: int, service_s: float = SERVICE_S) -> None:
--- a/tests/dispatch/test_target_scheduler.py
+++ b/tests/dispatch/test_target_scheduler.py
@@ -9,11 +9,11 @@
     CancelSend,
     CheckHealth,
     DispatchCommand,
-    Ended,
     Outcome,
-    PermitUnused,
     Refuse,
     ReportLeaving,
+    RequestEnded,
+    ReturnPermit,
     SendExecute,
     SendQuery,
     Work,
@@ -48,7 +48,7 @@
     def end(
         self, work: Work, outcome: Outcome, now: float, boot: str = "boot1", leaving: bool = False
     ) -> Commands:
-        return self.scheduler.ended(Ended(work.key, outcome, 0.005, boot, leaving), now)
+        return self.scheduler.ended(RequestEnded(work.key, outcome, 0.005, boot, leaving), now)
 
 
 def outcomes(commands: Commands) -> list[Outcome]:
@@ -225,7 +225,7 @@
     delayed = [session.offer(1.0)[0] for _ in range(8)]
     for work in delayed:
         if late:
-            session.scheduler.ended(Ended(work.key, Outcome.LATE, 0.5), 1.5)
+            session.scheduler.ended(RequestEnded(work.key, Outcome.LATE, 0.5), 1.5)
         else:
             session.scheduler.withdraw(work.key, 1.5)
     assert session.scheduler.running == 0
@@ -262,7 +262,7 @@
     commands = session.scheduler.tick(1.01) if granted else []
     commands += session.scheduler.permit(work.key, granted, 1.02)
     assert [type(c) for c in commands].count(SendExecute) == 0
-    assert [type(c) for c in commands].count(PermitUnused) == expected
+    assert [type(c) for c in commands].count(ReturnPermit) == expected
     assert session.scheduler.running == 0 or any(isinstance(c, SendQuery) for c in commands)
 
 
@@ -287,7 +287,9 @@
     session = SchedulerSession()
     for number in range(20):
         work, _ = session.offer(float(number))
-        session.scheduler.ended(Ended(work.key, Outcome.OK, 0.9, "boot1", False), number + 0.9)
+        session.scheduler.ended(
+            RequestEnded(work.key, Outcome.OK, 0.9, "boot1", False), number + 0.9
+        )
     return session
 
 
@@ -296,7 +298,7 @@
     trial, commands = session.offer(30.0)
     assert commands == [SendQuery(trial)]
     assert outcomes(session.offer(30.0)[1]) == [Outcome.SHED]
-    session.scheduler.ended(Ended(trial.key, Outcome.OK, 0.005, "boot1", False), 30.005)
+    session.scheduler.ended(RequestEnded(trial.key, Outcome.OK, 0.005, "boot1", False), 30.005)
     again, commands = session.offer(30.01)
     assert commands == [SendQuery(again)], "what the trial showed counts at once"
 
@@ -307,7 +309,7 @@
 def test_failed_trial_is_followed_by_a_pause(failure: Outcome) -> None:
     session = slow_line()
     trial, _ = session.offer(30.0)
-    session.scheduler.ended(Ended(trial.key, failure, 0.005, "boot1", False), 30.005)
+    session.scheduler.ended(RequestEnded(trial.key, failure, 0.005, "boot1", False), 30.005)
     assert outcomes(session.offer(30.05)[1]) == [Outcome.SHED]
     later, commands = session.offer(31.2)
     assert commands == [SendQuery(later)]
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -191,7 +191,7 @@
         "tests/dispatch/test_reply_classifier.py::test_only_its_own_whole_answer_counts",
         Mutant(
             "trackwheel/dispatch/reply_classifier.py",
-            "own = head.nonce == work.key.wire() and head.end",
+            "own = head.nonce == work.key.wire_nonce() and head.end",
             "own = True",
         ),
     ),
@@ -202,7 +202,7 @@
         "tests/dispatch/test_reply_classifier.py::test_only_its_own_refusal_proves_that_it_was_not_run",
         Mutant(
             "trackwheel/dispatch/reply_classifier.py",
-            "            if refusal.nonce == work.key.wire():\n",
+            "            if refusal.nonce == work.key.wire_nonce():\n",
             "            if True:\n",
         ),
     ),
--- a/trackwheel/dispatch/__init__.py
+++ b/trackwheel/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The owner of some targets: the only sender to them, by slot, share and deadline."""
+"""Dispatch of work to targets: each target has one owner, which schedules all of its requests."""
--- a/trackwheel/dispatch/errors.py
+++ b/trackwheel/dispatch/errors.py
@@ -4,4 +4,4 @@
 
 
 class TargetError(TrackwheelError):
-    """Say that a target did not answer as its contract says."""
+    """Raised when a target violates its protocol."""
--- a/trackwheel/dispatch/events.py
+++ b/trackwheel/dispatch/events.py
@@ -1,27 +1,34 @@
-"""Events that the task of the dispatch decisions takes from others."""
+"""Events that the dispatch task receives."""
 
 from typing import NamedTuple
 
-from trackwheel.dispatch.models import Ended, ExecuteAsk, PermitReply, Scatter, Withdraw, Work
+from trackwheel.dispatch.models import (
+    ExecuteAsk,
+    PermitReply,
+    RequestEnded,
+    Scatter,
+    Withdraw,
+    Work,
+)
 from trackwheel.files.models import InForce
 from trackwheel.fleet.models import TargetNote
 
 
-class FromGateway(NamedTuple):
-    """Event: a gateway's message arrived."""
+class GatewayMessage(NamedTuple):
+    """Event: a message from a gateway arrived."""
 
     gateway: str
     message: Scatter | ExecuteAsk | Withdraw | PermitReply
 
 
 class GatewayLost(NamedTuple):
-    """Event: the last link to a box is gone."""
+    """Event: the last connection to a box was closed."""
 
     gateway: str
 
 
-class HealthRead(NamedTuple):
-    """Event: a health page was read, or could not be."""
+class HealthPageRead(NamedTuple):
+    """Event: a health check finished, successfully or not."""
 
     target: str
     reachable: bool
@@ -29,10 +36,10 @@
     leaving: bool
 
 
-class Exchanged(NamedTuple):
-    """Event: an exchange with a target ended; the answer for the gateway goes with it."""
+class ExchangeEnded(NamedTuple):
+    """Event: an exchange with a target ended; holds the answer for the gateway."""
 
-    ended: Ended
+    ended: RequestEnded
     work: Work
     body: bytes
     holds: list[int]
@@ -40,15 +47,17 @@
 
 
 class InForceChanged(NamedTuple):
-    """Event: other files are in force."""
+    """Event: the active configuration changed."""
 
     in_force: InForce
 
 
-class NotesLearnt(NamedTuple):
-    """Event: targets are leaving, another box says."""
+class LeavingReported(NamedTuple):
+    """Event: other boxes reported that targets are leaving."""
 
-    notes: tuple[TargetNote, ...]
+    reports: tuple[TargetNote, ...]
 
 
-Event = FromGateway | GatewayLost | HealthRead | Exchanged | InForceChanged | NotesLearnt
+Event = (
+    GatewayMessage | GatewayLost | HealthPageRead | ExchangeEnded | InForceChanged | LeavingReported
+)
--- a/trackwheel/dispatch/exchange.py
+++ b/trackwheel/dispatch/exchange.py
@@ -1,4 +1,4 @@
-"""The exchanges with targets: requests go out, and how they ended goes to the dispatch task."""
+"""Exchanges with targets: send requests and report their outcomes to the dispatch task."""
 
 from collections.abc import Callable
 
@@ -8,9 +8,16 @@
 
 from trackwheel.clock import steady_now
 from trackwheel.dispatch.const import EXECUTE_TIMEOUT_S, MIN_RETRY_AFTER_S
-from trackwheel.dispatch.events import Event, Exchanged, HealthRead
+from trackwheel.dispatch.events import Event, ExchangeEnded, HealthPageRead
 from trackwheel.dispatch.guard import SendGuard
-from trackwheel.dispatch.models import Ended, ExecuteAnswer, Outcome, RunOutcome, Work, WorkKey
+from trackwheel.dispatch.models import (
+    ExecuteAnswer,
+    Outcome,
+    RequestEnded,
+    RunOutcome,
+    Work,
+    WorkKey,
+)
 from trackwheel.dispatch.reply_classifier import (
     classify_execute_reply,
     classify_query_reply,
@@ -23,7 +30,7 @@
 
 
 class TargetExchanges:
-    """Carry work to targets, one task for each request."""
+    """Send work to targets, with one task per request."""
 
     def __init__(
         self, hub: Hub, client: TargetClient, guard: SendGuard, put: Callable[[Event], None]
@@ -36,25 +43,25 @@
         self.sent_by_outcome: dict[str, int] = {}
 
     def start_query(self, work: Work, tasks: anyio.abc.TaskGroup) -> None:
-        """Send a sub-request; it ends with its deadline at the latest."""
+        """Send a sub-request, which times out at its deadline."""
         scope = anyio.CancelScope(deadline=work.deadline)
         self._scope_by_key[work.key] = scope
         tasks.start_soon(self._query, work, scope)
 
     def cancel(self, key: WorkKey) -> None:
-        """Stop waiting for a sub-request's answer and close its connection."""
+        """Cancel a sub-request and close its connection."""
         running = self._scope_by_key.pop(key, None)
         if running is not None:
             running.cancel()
 
     async def _query(self, work: Work, scope: anyio.CancelScope) -> None:
-        """Exchange one sub-request with its target."""
+        """Send one sub-request and report its outcome."""
         if scope.cancel_called:
             return
         started = steady_now()
         body = msgspec.json.encode(
             {
-                "nonce": work.key.wire(),
+                "nonce": work.key.wire_nonce(),
                 "service": work.service,
                 "group": work.group,
                 "version": work.version,
@@ -69,22 +76,22 @@
             try:
                 reply = await self._client.post(work.target, PATH_QUERY, body, left_ms)
                 outcome, holds = classify_query_reply(work, reply)
-                self._guard.replied(work, outcome, reply)
+                self._guard.record_reply(work, outcome, reply)
             except (TargetUnreachableError, TargetBrokenError) as error:
                 outcome = Outcome.FAILED
-                self._guard.failed(work, error)
+                self._guard.record_failure(work, error)
         if self._scope_by_key.pop(work.key, None) is None:
             return
         self.sent_by_outcome[outcome] = self.sent_by_outcome.get(outcome, 0) + 1
         service_s = steady_now() - started
-        self._put(_exchanged(work, outcome, service_s, reply, holds))
+        self._put(_exchange_ended(work, outcome, service_s, reply, holds))
 
     async def execute(self, work: Work) -> None:
-        """Run permitted work once; whatever is not certain is told as unknown."""
+        """Execute permitted work once; if the outcome is uncertain, report it as unknown."""
         started = steady_now()
         body = msgspec.json.encode(
             {
-                "nonce": work.key.wire(),
+                "nonce": work.key.wire_nonce(),
                 "id": work.request_id,
                 "service": work.service,
                 "group": work.group,
@@ -97,16 +104,16 @@
                 left_ms = EXECUTE_TIMEOUT_S * 1000
                 reply = await self._client.post(work.target, PATH_EXECUTE, body, left_ms)
                 run, reason = classify_execute_reply(work, reply)
-                self._guard.replied(work, outcome_of_run(run, reply), reply)
+                self._guard.record_reply(work, outcome_of_run(run, reply), reply)
             except TargetUnreachableError as error:
                 run, reason = RunOutcome.NOT_RUN, Outcome.FAILED
-                self._guard.failed(work, error)
+                self._guard.record_failure(work, error)
             except TargetBrokenError as error:
                 run, reason = RunOutcome.UNKNOWN, "connection_broke"
-                self._guard.failed(work, error)
+                self._guard.record_failure(work, error)
         outcome = outcome_of_run(run, reply)
         service_s = steady_now() - started
-        self._put(_exchanged(work, outcome, service_s, reply, []))
+        self._put(_exchange_ended(work, outcome, service_s, reply, []))
         retry_ms = 1000 * max(MIN_RETRY_AFTER_S, reply.retry_after_s if reply else 0.0)
         done = reply.body if reply is not None and run is RunOutcome.DONE else b""
         answer = ExecuteAnswer(work.key.query_id, work.key.nonce, run, reason, done, retry_ms)
@@ -114,20 +121,20 @@
 
     async def check_health(self, target: str) -> None:
         """Read a target's health page."""
-        read = HealthRead(target, False, "", False)
+        read = HealthPageRead(target, False, "", False)
         with anyio.move_on_after(HEALTH_TIMEOUT_S):
             try:
                 reply = await self._client.get(target, PATH_HEALTH)
                 page = msgspec.json.decode(reply.body, type=HealthPage)
                 leaving = page.draining or reply.draining
-                read = HealthRead(target, True, page.boot or reply.boot, leaving)
-                self._guard.heard(target, read.boot)
+                read = HealthPageRead(target, True, page.boot or reply.boot, leaving)
+                self._guard.record_boot(target, read.boot)
             except (TargetUnreachableError, TargetBrokenError, msgspec.DecodeError):
                 pass
         self._put(read)
 
-    async def warm(self, target: str) -> None:
-        """Open one connection ahead of need by reading the health page over it."""
+    async def open_connection(self, target: str) -> None:
+        """Open one connection in advance by reading the health page over it."""
         with anyio.move_on_after(HEALTH_TIMEOUT_S):
             try:
                 await self._client.get(target, PATH_HEALTH)
@@ -135,12 +142,12 @@
                 return
 
 
-def _exchanged(
+def _exchange_ended(
     work: Work, outcome: Outcome, service_s: float, reply: TargetReply | None, holds: list[int]
-) -> Exchanged:
+) -> ExchangeEnded:
     boot = reply.boot if reply is not None else ""
     leaving = reply is not None and reply.draining
-    ended = Ended(work.key, outcome, service_s, boot, leaving)
+    ended = RequestEnded(work.key, outcome, service_s, boot, leaving)
     body = reply.body if reply is not None and outcome is Outcome.OK else b""
     retry_s = max(MIN_RETRY_AFTER_S, reply.retry_after_s if reply is not None else 0.0)
-    return Exchanged(ended, work, body, holds, retry_s)
+    return ExchangeEnded(ended, work, body, holds, retry_s)
--- a/trackwheel/dispatch/fair_queue.py
+++ b/trackwheel/dispatch/fair_queue.py
@@ -10,11 +10,11 @@
 from trackwheel.dispatch.models import Work, WorkKey
 
 Entry = tuple[float, int, Work]
-"""Deadline, order of arrival, work: the first two decide the order."""
+"""Deadline, arrival number and work, sorted by the first two."""
 
 
 class _GroupQueue:
-    """Hold one group's waiting work and its place in virtual time."""
+    """Queued work of one group and its finish tag in virtual time."""
 
     __slots__ = ("entries", "finish", "idle_since", "share")
 
@@ -26,7 +26,7 @@
 
 
 class FairQueue:
-    """Order waiting work so that each group's slot time follows its share."""
+    """Order queued work so that each group receives slot time in proportion to its share."""
 
     def __init__(self) -> None:
         self._queue_by_group: dict[str, _GroupQueue] = {}
@@ -41,11 +41,11 @@
         return key in self._entry_by_key
 
     def keys(self) -> list[WorkKey]:
-        """Return the keys of all waiting work."""
+        """Return the keys of all queued work."""
         return list(self._entry_by_key)
 
     def push(self, work: Work, share: float) -> None:
-        """Add work for a group with a share."""
+        """Add work and set the share of its group."""
         queue = self._queue_by_group.get(work.group)
         if queue is None:
             queue = self._queue_by_group[work.group] = _GroupQueue(share, self._virtual_time)
@@ -55,7 +55,7 @@
         self._entry_by_key[work.key] = entry
 
     def remove(self, key: WorkKey) -> Work | None:
-        """Take work out of the queue; return None when it does not wait."""
+        """Remove work from the queue and return it, None if it is not queued."""
         entry = self._entry_by_key.pop(key, None)
         if entry is None:
             return None
@@ -63,7 +63,7 @@
         return entry[2]
 
     def pop(self, cost_s: float, now: float) -> Work | None:
-        """Return the work whose turn it is and charge its group an expected cost."""
+        """Remove and return the next work, and charge its group the expected cost."""
         chosen: _GroupQueue | None = None
         earliest = 0.0
         for queue in self._queue_by_group.values():
@@ -80,13 +80,13 @@
         return self._pop_head(chosen)
 
     def charge(self, group: str, cost_s: float) -> None:
-        """Correct a group's account by slot time beyond what was expected (may be negative)."""
+        """Charge a group for slot time beyond the expected cost (may be negative)."""
         queue = self._queue_by_group.get(group)
         if queue is not None:
             queue.finish += cost_s / queue.share
 
     def drop_before(self, deadline: float) -> list[Work]:
-        """Take out and return all work whose deadline lies before a time."""
+        """Remove and return all work whose deadline is before a given time."""
         dropped = []
         for queue in self._queue_by_group.values():
             while queue.entries and queue.entries[0][0] < deadline:
@@ -94,23 +94,23 @@
         return dropped
 
     def drop_all(self) -> list[Work]:
-        """Take out and return all work."""
+        """Remove and return all work."""
         return self.drop_before(float("inf"))
 
     def earliest_deadline(self) -> float:
-        """Return the earliest deadline that waits, infinity when nothing does."""
+        """Return the earliest deadline of queued work, infinity if the queue is empty."""
         waiting = (queue.entries for queue in self._queue_by_group.values() if queue.entries)
         return min((entries[0][0] for entries in waiting), default=float("inf"))
 
     def ahead_of(self, group: str, deadline: float) -> int:
-        """Return how much of a group's waiting work comes before a deadline."""
+        """Return the number of queued items of a group that precede new work with a deadline."""
         queue = self._queue_by_group.get(group)
         if queue is None:
             return 0
         return bisect_right(queue.entries, deadline, key=itemgetter(0))
 
     def share_fraction(self, group: str, share: float) -> float:
-        """Return the part of the target that a group gets now, were it to wait."""
+        """Return the fraction of the capacity that a group would get if it queued work now."""
         others = sum(
             queue.share
             for name, queue in self._queue_by_group.items()
@@ -119,7 +119,7 @@
         return share / (share + others)
 
     def forget_idle(self, now: float) -> None:
-        """Drop the accounts of groups that have been idle and owe nothing."""
+        """Remove groups that have been idle for `GROUP_IDLE_S` and owe no slot time."""
         for group, queue in list(self._queue_by_group.items()):
             owes = queue.finish > self._virtual_time
             if not queue.entries and not owes and now - queue.idle_since > GROUP_IDLE_S:
--- a/trackwheel/dispatch/guard.py
+++ b/trackwheel/dispatch/guard.py
@@ -1,4 +1,4 @@
-"""What owners tell the quarantine of their targets, and what they refuse to send."""
+"""Quarantine checks before sending, and reports of request outcomes to the quarantine."""
 
 from typing import Final
 
@@ -13,19 +13,19 @@
 
 
 def query_fingerprint(service: str, query: str) -> bytes:
-    """Return what is the same in each attempt at a query."""
+    """Return the fingerprint that all attempts at a query share."""
     return fingerprint(service, _QUERY, b"", query.encode())
 
 
 def execute_fingerprint(service: str, body: str) -> bytes:
-    """Return what is the same in each attempt at a request that may run only once."""
+    """Return the fingerprint that all attempts at a request that may run only once share."""
     return fingerprint(service, _EXECUTE, b"", body.encode())
 
 
 class SendGuard:
-    """Follow how work ends at this owner's targets; keep what ends them from them.
+    """Report how requests end at this owner's targets, and hold those that crash targets.
 
-    A target's life is its address and the boot that it told last.
+    One life of a target is identified by its address and the boot that it last reported.
     """
 
     def __init__(self, quarantine: Quarantine) -> None:
@@ -33,22 +33,22 @@
         self._boot_by_target: dict[str, str] = {}
 
     def retry_after_s(self, request: bytes) -> float:
-        """Return in how many seconds a request may be sent again, 0 for now."""
+        """Return the delay before a request may be sent (seconds), 0 if it is not held."""
         return self._quarantine.waits_s(request)
 
-    def heard(self, target: str, boot: str) -> None:
-        """Take a target's word which boot it is."""
+    def record_boot(self, target: str, boot: str) -> None:
+        """Record the boot that a target reported."""
         if boot:
             self._boot_by_target[target] = boot
 
-    def replied(self, work: Work, outcome: Outcome, reply: TargetReply) -> None:
-        """Take a target's reply to some work."""
-        self.heard(work.target, reply.boot)
+    def record_reply(self, work: Work, outcome: Outcome, reply: TargetReply) -> None:
+        """Record the reply of a target to a request."""
+        self.record_boot(work.target, reply.boot)
         if outcome is Outcome.OK:
             self._quarantine.answered(_fingerprint(work))
 
-    def failed(self, work: Work, error: Exception) -> None:
-        """Take that work brought no reply."""
+    def record_failure(self, work: Work, error: Exception) -> None:
+        """Record a request that got no reply."""
         life = f"{work.target} {self._boot_by_target.get(work.target, '')}", 0
         match error:
             case TargetClosedError():
--- a/trackwheel/dispatch/models.py
+++ b/trackwheel/dispatch/models.py
@@ -1,11 +1,11 @@
-"""Work for targets, and the messages between gateways and owners."""
+"""Work for targets, scheduler commands, and messages between gateways and owners."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class Outcome(StrEnum):
-    """Say how one sub-request ended."""
+    """Outcome of a sub-request."""
 
     OK = "ok"
     WRONG_VERSION = "wrong_version"
@@ -20,7 +20,7 @@
 
 
 class RunOutcome(StrEnum):
-    """Say what is known of a request that may run only once."""
+    """Known outcome of a request that may run only once."""
 
     DONE = "done"
     NOT_RUN = "not_run"
@@ -28,7 +28,7 @@
 
 
 class Ask(NamedTuple):
-    """Name one sub-request of a query; as a last resort it goes to an ejected target too."""
+    """Identify one sub-request of a query; as a last resort an ejected target is used too."""
 
     nonce: int
     target: str
@@ -36,7 +36,7 @@
 
 
 class Scatter(NamedTuple):
-    """Carry all of a query's sub-requests for one owner."""
+    """Submit all sub-requests of a query for one owner."""
 
     query_id: str
     service: str
@@ -48,14 +48,14 @@
 
 
 class Withdraw(NamedTuple):
-    """Take back sub-requests of a query, or executions that have no permit yet."""
+    """Withdraw sub-requests of a query, or executions that have no permit yet."""
 
     query_id: str
     asks: list[Ask]
 
 
 class SubAnswer(NamedTuple):
-    """Carry the end of one sub-request back to its gateway."""
+    """Return the outcome of one sub-request to its gateway."""
 
     query_id: str
     nonce: int
@@ -68,7 +68,7 @@
 
 
 class ExecuteAsk(NamedTuple):
-    """Carry one request that may run only once; `query_id` names this attempt."""
+    """Submit a request that may run only once; `query_id` identifies this attempt."""
 
     query_id: str
     nonce: int
@@ -82,7 +82,7 @@
 
 
 class PermitRequest(NamedTuple):
-    """Ask the gateway, immediately before sending, whether the request may run."""
+    """Request permission from the gateway to run a request, immediately before sending it."""
 
     query_id: str
     nonce: int
@@ -92,7 +92,7 @@
 
 
 class PermitReply(NamedTuple):
-    """Grant or deny a permit; a grant is given once."""
+    """Grant or deny a permit; a permit is granted at most once."""
 
     query_id: str
     nonce: int
@@ -101,7 +101,7 @@
 
 
 class ExecuteAnswer(NamedTuple):
-    """Say how an execution ended."""
+    """Return the outcome of an execution."""
 
     query_id: str
     nonce: int
@@ -112,13 +112,13 @@
 
 
 class Ping(NamedTuple):
-    """Ask an owner for a sign of life."""
+    """Check whether an owner is alive."""
 
     sequence: int
 
 
 class Pong(NamedTuple):
-    """Give a sign of life."""
+    """Reply to a `Ping`."""
 
     sequence: int
 
@@ -137,20 +137,20 @@
 
 
 class WorkKey(NamedTuple):
-    """Identify work: who asked, in which query, under which nonce, of which target."""
+    """Identify work by its gateway, query, nonce and target."""
 
     gateway: str
     query_id: str
     nonce: int
     target: str
 
-    def wire(self) -> str:
+    def wire_nonce(self) -> str:
         """Return the nonce that the target must echo."""
         return f"{self.query_id}.{self.nonce}"
 
 
 class Work(NamedTuple):
-    """Hold one unit of work for one target; `deadline` is on this box's monotonic clock."""
+    """One request for one target; `deadline` is on this box's monotonic clock."""
 
     key: WorkKey
     service: str
@@ -164,7 +164,7 @@
 
     @property
     def target(self) -> str:
-        """Return the target that the work is for."""
+        """Return the address of the target."""
         return self.key.target
 
     @property
@@ -180,25 +180,25 @@
 
 
 class AskPermit(NamedTuple):
-    """Command: ask the work's gateway for a permit."""
+    """Command: request a permit from the work's gateway."""
 
     work: Work
 
 
 class SendExecute(NamedTuple):
-    """Command: run permitted work at its target."""
+    """Command: execute permitted work at its target."""
 
     work: Work
 
 
 class CancelSend(NamedTuple):
-    """Command: stop waiting for a target's answer and close that connection."""
+    """Command: cancel a request to a target and close its connection."""
 
     key: WorkKey
 
 
 class Refuse(NamedTuple):
-    """Command: tell the gateway that work was not sent (seconds)."""
+    """Command: report to the gateway that work was not sent (times in seconds)."""
 
     work: Work
     outcome: Outcome
@@ -206,27 +206,27 @@
     retry_after_s: float
 
 
-class PermitUnused(NamedTuple):
-    """Command: tell the gateway that a permit came too late and that nothing was sent."""
+class ReturnPermit(NamedTuple):
+    """Command: report to the gateway that a permit came too late and nothing was sent."""
 
     key: WorkKey
 
 
-class Warm(NamedTuple):
-    """Command: open connections to a target ahead of need."""
+class OpenConnections(NamedTuple):
+    """Command: open connections to a target in advance."""
 
     target: str
     connections: int
 
 
 class CheckHealth(NamedTuple):
-    """Command: read a target's health page as a hint."""
+    """Command: read the health page of a target."""
 
     target: str
 
 
 class ReportLeaving(NamedTuple):
-    """Command: tell the fleet that a target is leaving."""
+    """Command: report to the fleet that a target is leaving."""
 
     target: str
     target_boot: str
@@ -238,15 +238,15 @@
     | SendExecute
     | CancelSend
     | Refuse
-    | PermitUnused
-    | Warm
+    | ReturnPermit
+    | OpenConnections
     | CheckHealth
     | ReportLeaving
 )
 
 
 class TargetEstimate(NamedTuple):
-    """Describe what an owner expects of a target (seconds)."""
+    """Estimates for a target (times in seconds)."""
 
     mean_s: float
     likely_s: float
@@ -256,8 +256,8 @@
     limit: int
 
 
-class Ended(NamedTuple):
-    """Say how a request at a target ended, for the target's own record."""
+class RequestEnded(NamedTuple):
+    """Outcome of a request at a target, used for its limits and ejection."""
 
     key: WorkKey
     outcome: Outcome
--- a/trackwheel/dispatch/owner.py
+++ b/trackwheel/dispatch/owner.py
@@ -1,15 +1,15 @@
-"""The decisions of one owner over all of its targets."""
+"""Scheduling of the work for all targets of one owner."""
 
 from typing import NamedTuple
 
 from trackwheel.dispatch.const import MAX_LEAVING_REPORTS, MIN_RETRY_AFTER_S
 from trackwheel.dispatch.models import (
     DispatchCommand,
-    Ended,
     ExecuteAsk,
     Outcome,
-    PermitUnused,
     Refuse,
+    RequestEnded,
+    ReturnPermit,
     Scatter,
     TargetEstimate,
     Withdraw,
@@ -23,7 +23,7 @@
 
 
 class TargetState(NamedTuple):
-    """Describe one target for metrics and operators."""
+    """State of one target for metrics and operators."""
 
     target: str
     running: int
@@ -34,7 +34,7 @@
 
 
 class Owner:
-    """Route events to the lines of the targets and keep a line only while it is used."""
+    """Route events to the schedulers of the targets, which exist only while they are in use."""
 
     def __init__(self) -> None:
         self._in_force = NOTHING_IN_FORCE
@@ -44,7 +44,7 @@
         self._wake_schedule = WakeSchedule()
 
     def states(self, now: float) -> list[TargetState]:
-        """Return the state of every scheduler."""
+        """Return the state of every target that has a scheduler."""
         return [
             TargetState(
                 scheduler.target,
@@ -58,19 +58,19 @@
         ]
 
     def estimate(self, target: str) -> TargetEstimate | None:
-        """Return what is expected of a target, None when it has no scheduler."""
+        """Return the estimates for a target, None if it has no scheduler."""
         scheduler = self._scheduler_by_target.get(target)
         return scheduler.estimate() if scheduler is not None else None
 
     def busy(self) -> bool:
-        """Return whether any work waits or runs."""
+        """Return whether any work is queued or running."""
         return any(
             scheduler.running or scheduler.waiting
             for scheduler in self._scheduler_by_target.values()
         )
 
     def set_in_force(self, in_force: InForce) -> list[DispatchCommand]:
-        """Take the files in force; a target that they no longer name gets nothing new."""
+        """Apply the active configuration; targets missing from it get no new work."""
         self._in_force = in_force
         commands: list[DispatchCommand] = []
         for target, scheduler in self._scheduler_by_target.items():
@@ -79,10 +79,10 @@
         return commands
 
     def _service_of_target(self, service_name: str, target: str) -> ServiceSpec | None:
-        """Return the service if the files in force name the target in it.
+        """Return the service if the active configuration lists the target in it.
 
-        Only services that are asked for are looked through, so that a change of files costs
-        a box what it uses and not what the fleet has.
+        Only services in use are searched, so that the cost of a configuration change depends on
+        what this box uses and not on the size of the fleet.
         """
         service = self._in_force.service_by_name.get(service_name)
         if service is None:
@@ -95,7 +95,7 @@
         return service if target in cached[1] else None
 
     def scatter(self, gateway: str, message: Scatter, now: float) -> list[DispatchCommand]:
-        """Take a query's sub-requests."""
+        """Submit the sub-requests of a query."""
         commands: list[DispatchCommand] = []
         deadline = now + message.deadline_ms / 1000
         for ask in message.asks:
@@ -112,7 +112,7 @@
         return commands
 
     def execute(self, gateway: str, message: ExecuteAsk, now: float) -> list[DispatchCommand]:
-        """Take a request that may run only once."""
+        """Submit a request that may run only once."""
         work = Work(
             key=WorkKey(gateway, message.query_id, message.nonce, message.target),
             service=message.service,
@@ -127,7 +127,7 @@
         return self._offer(work, now)
 
     def withdraw(self, gateway: str, message: Withdraw, now: float) -> list[DispatchCommand]:
-        """Take sub-requests back."""
+        """Withdraw sub-requests."""
         commands: list[DispatchCommand] = []
         for ask in message.asks:
             scheduler = self._scheduler_by_target.get(ask.target)
@@ -137,7 +137,7 @@
         return commands
 
     def gateway_lost(self, gateway: str, now: float) -> list[DispatchCommand]:
-        """Take back everything of a gateway that nobody can answer any more."""
+        """Withdraw all work of a gateway that can no longer be reached."""
         commands: list[DispatchCommand] = []
         for scheduler in self._scheduler_by_target.values():
             for key in scheduler.keys_from(gateway):
@@ -145,14 +145,14 @@
         return commands
 
     def permit(self, key: WorkKey, granted: bool, now: float) -> list[DispatchCommand]:
-        """Take a gateway's answer to a permit request."""
+        """Apply a gateway's reply to a permit request."""
         scheduler = self._scheduler_by_target.get(key.target)
         if scheduler is None:
-            return [PermitUnused(key)] if granted else []
+            return [ReturnPermit(key)] if granted else []
         return self._reschedule(scheduler, scheduler.permit(key, granted, now))
 
-    def ended(self, event: Ended, now: float) -> list[DispatchCommand]:
-        """Take the end of a request at a target."""
+    def ended(self, event: RequestEnded, now: float) -> list[DispatchCommand]:
+        """Record the end of a request at a target."""
         scheduler = self._scheduler_by_target.get(event.key.target)
         return (
             self._reschedule(scheduler, scheduler.ended(event, now))
@@ -163,7 +163,7 @@
     def apply_health_page(
         self, target: str, reachable: bool, boot: str, leaving: bool, now: float
     ) -> list[DispatchCommand]:
-        """Take what a target's health page says."""
+        """Apply the result of a health check."""
         scheduler = self._scheduler_by_target.get(target)
         if scheduler is None:
             return []
@@ -171,23 +171,23 @@
             scheduler, scheduler.apply_health_page(reachable, boot, leaving, now)
         )
 
-    def apply_leaving_report(self, notes: tuple[TargetNote, ...]) -> list[DispatchCommand]:
-        """Take reports of other boxes that targets are leaving."""
+    def apply_leaving_report(self, reports: tuple[TargetNote, ...]) -> list[DispatchCommand]:
+        """Apply reports of other boxes that targets are leaving."""
         commands: list[DispatchCommand] = []
-        for note in notes:
-            self._leaving_report_by_target.pop(note.address, None)
-            self._leaving_report_by_target[note.address] = note
+        for report in reports:
+            self._leaving_report_by_target.pop(report.address, None)
+            self._leaving_report_by_target[report.address] = report
             if len(self._leaving_report_by_target) > MAX_LEAVING_REPORTS:
                 del self._leaving_report_by_target[next(iter(self._leaving_report_by_target))]
-            scheduler = self._scheduler_by_target.get(note.address)
+            scheduler = self._scheduler_by_target.get(report.address)
             if scheduler is not None:
                 commands += self._reschedule(
-                    scheduler, scheduler.apply_leaving_report(note.target_boot)
+                    scheduler, scheduler.apply_leaving_report(report.target_boot)
                 )
         return commands
 
     def tick(self, now: float) -> list[DispatchCommand]:
-        """Do what is due and forget lines that nobody uses."""
+        """Run the schedulers that are due and remove idle ones."""
         commands: list[DispatchCommand] = []
         for target in self._wake_schedule.take_due(now):
             scheduler = self._scheduler_by_target[target]
@@ -199,18 +199,18 @@
         return commands
 
     def next_wake(self) -> float:
-        """Return when `tick` is next needed (seconds)."""
+        """Return the time at which `tick` must be called next (seconds)."""
         return self._wake_schedule.next()
 
     def _reschedule(
         self, scheduler: TargetScheduler, commands: list[DispatchCommand]
     ) -> list[DispatchCommand]:
-        """Return the commands of a line that took an event, and note when it is next due."""
+        """Update the wake time of a scheduler that handled an event; return its commands."""
         self._wake_schedule.set(scheduler.target, scheduler.next_wake())
         return commands
 
     def delay(self, work: Work, now: float) -> float:
-        """Return how long more work like this would wait (seconds)."""
+        """Return the expected queueing delay of further work like this (seconds)."""
         scheduler = self._scheduler_by_target.get(work.target)
         if scheduler is None:
             return 0.0
@@ -229,11 +229,11 @@
         if scheduler is None:
             scheduler = TargetScheduler(work.target, service, now)
             self._scheduler_by_target[work.target] = scheduler
-            note = self._leaving_report_by_target.get(work.target)
+            report = self._leaving_report_by_target.get(work.target)
             commands += scheduler.initial_commands
-            if note is not None:
+            if report is not None:
                 commands += self._reschedule(
-                    scheduler, scheduler.apply_leaving_report(note.target_boot)
+                    scheduler, scheduler.apply_leaving_report(report.target_boot)
                 )
         offered = scheduler.offer(work, self._share(work.group), now)
         return commands + self._reschedule(scheduler, offered)
--- a/trackwheel/dispatch/reply_classifier.py
+++ b/trackwheel/dispatch/reply_classifier.py
@@ -1,4 +1,4 @@
-"""What an owner takes a target's reply for; only an echoed nonce proves anything."""
+"""Classification of target replies; only a reply that echoes the nonce is trusted."""
 
 from typing import Final
 
@@ -19,11 +19,11 @@
 
 
 def classify_query_reply(work: Work, reply: TargetReply) -> tuple[Outcome, list[int]]:
-    """Return how a sub-request ended; an answer that is not its own counts as failed."""
+    """Return the outcome of a sub-request; an answer with a foreign nonce counts as failed."""
     try:
         if reply.status == STATUS_OK:
             head = msgspec.json.decode(reply.body, type=AnswerHead)
-            own = head.nonce == work.key.wire() and head.end
+            own = head.nonce == work.key.wire_nonce() and head.end
             return (Outcome.OK if own else Outcome.FAILED), []
         if reply.status == STATUS_CONFLICT:
             wrong = msgspec.json.decode(reply.body, type=WrongVersion)
@@ -36,16 +36,16 @@
 
 
 def classify_execute_reply(work: Work, reply: TargetReply) -> tuple[RunOutcome, str]:
-    """Return what is known of permitted work; only the work's own nonce proves anything."""
+    """Return the outcome of permitted work, unknown unless the reply echoes its nonce."""
     try:
         if reply.status == STATUS_OK:
             done = msgspec.json.decode(reply.body, type=ExecuteReply)
-            if done.nonce == work.key.wire() and done.end:
+            if done.nonce == work.key.wire_nonce() and done.end:
                 return RunOutcome.DONE, ""
             return RunOutcome.UNKNOWN, "foreign_answer"
         if reply.not_run:
             refusal = msgspec.json.decode(reply.body, type=ExecuteRefusal)
-            if refusal.nonce == work.key.wire():
+            if refusal.nonce == work.key.wire_nonce():
                 return RunOutcome.NOT_RUN, refusal.code
     except msgspec.DecodeError:
         return RunOutcome.UNKNOWN, "broken_answer"
@@ -53,7 +53,7 @@
 
 
 def outcome_of_run(run: RunOutcome, reply: TargetReply | None) -> Outcome:
-    """Return what a run says of its target, for the target's own record."""
+    """Return the outcome with which a run counts for its target's limits and ejection."""
     if run is RunOutcome.DONE:
         return Outcome.OK
     if run is RunOutcome.NOT_RUN and reply is not None:
--- a/trackwheel/dispatch/service.py
+++ b/trackwheel/dispatch/service.py
@@ -1,4 +1,4 @@
-"""The task that owns the dispatch decisions: it takes work from gateways and answers them."""
+"""The dispatch task: receives work from gateways, sends it to targets and returns the answers."""
 
 from collections.abc import Callable
 
@@ -9,12 +9,12 @@
 from trackwheel.dispatch.const import MIN_RETRY_AFTER_S
 from trackwheel.dispatch.events import (
     Event,
-    Exchanged,
-    FromGateway,
+    ExchangeEnded,
     GatewayLost,
-    HealthRead,
+    GatewayMessage,
+    HealthPageRead,
     InForceChanged,
-    NotesLearnt,
+    LeavingReported,
 )
 from trackwheel.dispatch.exchange import TargetExchanges
 from trackwheel.dispatch.guard import SendGuard, execute_fingerprint, query_fingerprint
@@ -25,20 +25,20 @@
     DispatchCommand,
     ExecuteAnswer,
     ExecuteAsk,
+    OpenConnections,
     Outcome,
     PermitReply,
     PermitRequest,
-    PermitUnused,
     Ping,
     Pong,
     Refuse,
     ReportLeaving,
+    ReturnPermit,
     RunOutcome,
     Scatter,
     SendExecute,
     SendQuery,
     SubAnswer,
-    Warm,
     Withdraw,
     Work,
     WorkKey,
@@ -58,7 +58,7 @@
 
 
 class DispatchService:
-    """Run the owner's decisions against real targets."""
+    """Connect the owner to the gateways and the targets."""
 
     def __init__(
         self,
@@ -77,34 +77,34 @@
         self._exchanges = TargetExchanges(hub, client, guard, self._inbox.put)
         self.refused_by_outcome: dict[str, int] = {}
         for message_type in (Scatter, ExecuteAsk, Withdraw, PermitReply):
-            hub.register(message_type, self._from_gateway)
+            hub.register(message_type, self._enqueue_message)
         hub.register(Ping, self._answer_ping)
         hub.on_link_lost(lambda address: self._inbox.put(GatewayLost(address)))
 
     @property
     def sent_by_outcome(self) -> dict[str, int]:
-        """Return how many sub-requests to targets ended in which way."""
+        """Return the number of sub-requests by outcome."""
         return self._exchanges.sent_by_outcome
 
     @property
     def busy(self) -> bool:
-        """Return whether any work waits or runs."""
+        """Return whether any work is queued or running."""
         return self._owner.busy()
 
     def states(self) -> list[TargetState]:
-        """Return the state of every target that is in use."""
+        """Return the state of every target in use."""
         return self._owner.states(steady_now())
 
     def set_in_force(self, in_force: InForce) -> None:
-        """Take the files in force."""
+        """Apply the active configuration."""
         self._inbox.put(InForceChanged(in_force))
 
-    def apply_leaving_report(self, notes: tuple[TargetNote, ...]) -> None:
-        """Take reports of other boxes that targets are leaving."""
-        self._inbox.put(NotesLearnt(notes))
+    def apply_leaving_report(self, reports: tuple[TargetNote, ...]) -> None:
+        """Apply reports of other boxes that targets are leaving."""
+        self._inbox.put(LeavingReported(reports))
 
     async def run(self) -> None:
-        """Decide and act until cancelled."""
+        """Process events until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 events = await self._inbox.take(self._owner.next_wake())
@@ -114,38 +114,38 @@
     def _answer_ping(self, sender: PeerIdentity, ping: Ping) -> None:
         self._hub.send(sender.address, Pong(ping.sequence))
 
-    def _from_gateway(
+    def _enqueue_message(
         self, sender: PeerIdentity, message: Scatter | ExecuteAsk | Withdraw | PermitReply
     ) -> None:
-        self._inbox.put(FromGateway(sender.address, message))
+        self._inbox.put(GatewayMessage(sender.address, message))
 
     def _decide(self, events: list[Event]) -> list[DispatchCommand]:
         now = steady_now()
         commands: list[DispatchCommand] = []
-        # All events are handled before any command is performed, so that a box that wakes
-        # from a freeze does not send what its gateway took back meanwhile.
+        # All events are handled before any command is performed. Otherwise a box that resumes
+        # after a freeze would send work that its gateway has withdrawn in the meantime.
         for event in events:
             commands += self._handle(event, now)
         return commands + self._owner.tick(now)
 
     def _handle(self, event: Event, now: float) -> list[DispatchCommand]:
         match event:
-            case FromGateway(gateway, message):
-                return self._handle_gateway(gateway, message, now)
-            case Exchanged():
+            case GatewayMessage(gateway, message):
+                return self._handle_message(gateway, message, now)
+            case ExchangeEnded():
                 commands = self._owner.ended(event.ended, now)
                 self._answer(event, now)
                 return commands
-            case HealthRead():
+            case HealthPageRead():
                 return self._owner.apply_health_page(*event, now)
             case GatewayLost(gateway):
                 return self._owner.gateway_lost(gateway, now)
             case InForceChanged(in_force):
                 return self._owner.set_in_force(in_force)
-            case NotesLearnt(notes):
-                return self._owner.apply_leaving_report(notes)
+            case LeavingReported(reports):
+                return self._owner.apply_leaving_report(reports)
 
-    def _handle_gateway(
+    def _handle_message(
         self,
         gateway: str,
         message: Scatter | ExecuteAsk | Withdraw | PermitReply,
@@ -153,7 +153,7 @@
     ) -> list[DispatchCommand]:
         match message:
             case Scatter():
-                if self._refuse_held_scatter(gateway, message):
+                if self._refuse_held_query(gateway, message):
                     return []
                 return self._owner.scatter(gateway, message, now)
             case ExecuteAsk():
@@ -166,8 +166,8 @@
                 key = WorkKey(gateway, message.query_id, message.nonce, message.target)
                 return self._owner.permit(key, message.granted, now)
 
-    def _refuse_held_scatter(self, gateway: str, message: Scatter) -> bool:
-        """Answer a query at once that is kept from targets; return whether it is."""
+    def _refuse_held_query(self, gateway: str, message: Scatter) -> bool:
+        """Answer a query that the quarantine holds; return whether it is held."""
         wait_s = self._guard.retry_after_s(query_fingerprint(message.service, message.query))
         if wait_s <= 0.0:
             return False
@@ -179,7 +179,7 @@
         return True
 
     def _refuse_held_execute(self, gateway: str, message: ExecuteAsk) -> bool:
-        """The same for a request that may run only once, before it asks for its permit."""
+        """Answer a held request that may run only once, before a permit is requested for it."""
         wait_s = self._guard.retry_after_s(execute_fingerprint(message.service, message.body))
         if wait_s <= 0.0:
             return False
@@ -207,15 +207,15 @@
                     self._exchanges.cancel(key)
                 case Refuse():
                     self._refuse(command)
-                case PermitUnused(key):
+                case ReturnPermit(key):
                     self._return_permit(key)
                 case CheckHealth(target):
                     tasks.start_soon(self._exchanges.check_health, target)
-                case Warm(target, connections):
+                case OpenConnections(target, connections):
                     for _ in range(connections):
-                        tasks.start_soon(self._exchanges.warm, target)
+                        tasks.start_soon(self._exchanges.open_connection, target)
                 case ReportLeaving(target, boot):
-                    LOG.info(f"Target {target} is leaving and gets no new work.")
+                    LOG.info(f"Target {target} is leaving; no new work is sent to it")
                     self._report_leaving(TargetNote(target, boot))
 
     def _ask_permit(self, work: Work) -> None:
@@ -266,8 +266,8 @@
             limit=estimate.limit,
         )
 
-    def _answer(self, event: Exchanged, now: float) -> None:
-        """Send the end of a sub-request to its gateway."""
+    def _answer(self, event: ExchangeEnded, now: float) -> None:
+        """Send the outcome of a sub-request to its gateway."""
         work = event.work
         if work.once:
             return
@@ -285,5 +285,5 @@
 
 
 def _age_s(learnt_at: float, now: float) -> float | None:
-    """Return the age of what was learnt (seconds), None when nothing was."""
+    """Return the age of the last measurement (seconds), None if there is none."""
     return round(now - learnt_at, 3) if learnt_at > 0.0 else None
--- a/trackwheel/dispatch/target_scheduler.py
+++ b/trackwheel/dispatch/target_scheduler.py
@@ -19,15 +19,15 @@
     CancelSend,
     CheckHealth,
     DispatchCommand,
-    Ended,
+    OpenConnections,
     Outcome,
-    PermitUnused,
     Refuse,
     ReportLeaving,
+    RequestEnded,
+    ReturnPermit,
     SendExecute,
     SendQuery,
     TargetEstimate,
-    Warm,
     Work,
     WorkKey,
 )
@@ -70,7 +70,7 @@
         self._last_used_at = now
         self.initial_commands: list[DispatchCommand] = [
             CheckHealth(target),
-            Warm(target, min(service.slots, service.connections)),
+            OpenConnections(target, min(service.slots, service.connections)),
         ]
 
     @property
@@ -186,7 +186,7 @@
         run = self._run_by_key.get(key)
         if run is None:
             # The slot was released before the permit arrived.
-            return [PermitUnused(key)] if granted else []
+            return [ReturnPermit(key)] if granted else []
         if run.permit_deadline is None:
             return []
         if not granted:
@@ -197,7 +197,7 @@
         self._run_by_key[key] = run._replace(started=now, permit_deadline=None)
         return [SendExecute(run.work)]
 
-    def ended(self, event: Ended, now: float) -> list[DispatchCommand]:
+    def ended(self, event: RequestEnded, now: float) -> list[DispatchCommand]:
         """Record the end of a request and send the next work."""
         commands: list[DispatchCommand] = []
         if event.target_boot:
@@ -307,7 +307,7 @@
         self._run_by_key[work.key] = _Run(work, now, concurrency, expected_s, permit_deadline)
         return AskPermit(work) if work.once else SendQuery(work)
 
-    def _record_end(self, run: _Run, event: Ended, now: float) -> list[DispatchCommand]:
+    def _record_end(self, run: _Run, event: RequestEnded, now: float) -> list[DispatchCommand]:
         """Update the limiter, the ejection and the trial from the outcome of a request."""
         if event.outcome is Outcome.OK:
             if self._trial.record_success(event.key):
