--- a/tests/dispatch/test_reply_classifier.py
+++ b/tests/dispatch/test_reply_classifier.py
@@ -1,4 +1,4 @@
-"""What an owner takes a target's reply for."""
+"""Classification of target replies."""
 
 import json
 
--- a/tests/dispatch/test_service_time.py
+++ b/tests/dispatch/test_service_time.py
@@ -1,4 +1,4 @@
-"""Service times learnt beside pauses: one pause is one observation."""
+"""Service time estimates when targets pause: one pause counts as one sample."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 class PausedTarget(SchedulerSession):
-    """Drive a line whose target answers each request after the usual time, or after a pause."""
+    """Drive a scheduler whose target answers after its usual time, or after a pause."""
 
     def __init__(self, slots: int = 2) -> None:
         super().__init__(slots)
@@ -30,7 +30,7 @@
         self.take(self.scheduler.offer(work, 1.0, self.now))
 
     def answer(self, service_s: float) -> None:
-        """Let all requests at the target end, each after the same time."""
+        """Finish all running requests with the same service time."""
         running, self.sent = self.sent, []
         for work in running:
             ended = RequestEnded(work.key, Outcome.OK, service_s, "boot1", False)
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("slots", [1, 2, 8])
 @pytest.mark.parametrize("answers_before", [0, 1, 100])
 def test_work_that_waited_out_a_pause_is_done(slots: int, answers_before: int) -> None:
-    """Requests were refused as overload for seconds after their target had paused once."""
+    """After a single pause of the target, requests were shed for several seconds."""
     session = PausedTarget(slots)
     session.serve(answers_before)
     for _ in range(8):
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize(("apart_s", "slower"), APART)
 def test_stalls_far_apart_are_pauses(apart_s: float, slower: bool) -> None:
-    """A target that got nothing after a pause was taken for slow when a second pause met it."""
+    """A target that got no work after a pause counted as slow when it paused a second time."""
     service_time = ServiceTime()
     service_time.add(-1.0, SERVICE_S, -1.0 + SERVICE_S)
     service_time.add(0.0, PAUSE_S, PAUSE_S)
@@ -126,7 +126,7 @@
     [pytest.param(0.1, False, id="as-slow"), pytest.param(0.5, True, id="far-slower")],
 )
 def test_first_slow_answer_tells_what_has_stalled(held_s: float, ejected: bool) -> None:
-    """A target on a starved machine went out of use after its first answer, as if it hung."""
+    """On an overloaded machine, a target was ejected as stalled after its first answer."""
     session = PausedTarget()
     session.arrive()
     session.now = 0.06
@@ -139,7 +139,7 @@
 
 
 def test_quicker_one_of_the_first_two_answers_is_believed() -> None:
-    """A target whose first answer was slow and whose second one met a pause got no work."""
+    """A target whose first answer was slow and whose second was delayed by a pause got no work."""
     service_time = ServiceTime()
     service_time.add(0.0, 0.04, 0.04)
     service_time.add(0.05, PAUSE_S, 0.05 + PAUSE_S)
@@ -147,7 +147,7 @@
 
 
 def test_second_pause_soon_after_the_first_counts_once() -> None:
-    """A box that paused twice took each request of the second pause for proof of a slow target."""
+    """A box that paused twice counted each request of the second pause as a slow sample."""
     service_time = ServiceTime()
     service_time.add(-1.0, SERVICE_S, -1.0 + SERVICE_S)
     service_time.add(0.0, PAUSE_S, PAUSE_S)
--- a/tests/dispatch/test_target_scheduler.py
+++ b/tests/dispatch/test_target_scheduler.py
@@ -1,4 +1,4 @@
-"""One target's line: leaving, ejection, permits, in tables of events."""
+"""Scheduler of one target: leaving, ejection, permits and trials."""
 
 from collections.abc import Callable
 
@@ -26,7 +26,7 @@
 
 
 class SchedulerSession:
-    """Drive one line by hand."""
+    """Drive one scheduler by hand."""
 
     def __init__(self, slots: int = 2, warm: bool = True) -> None:
         service = ServiceSpec("s", slots, 25, 0.006, 0.05, 0.99, Policy(1.0, 1.0, 1.0), ())
@@ -115,8 +115,8 @@
 )
 def test_only_a_new_boot_ends_leaving(boot: str, leaving: bool, returns: bool) -> None:
     session = SchedulerSession()
-    told = session.scheduler.apply_health_page(True, "boot1", True, 0.01)
-    assert ReportLeaving("t", "boot1") in told
+    commands = session.scheduler.apply_health_page(True, "boot1", True, 0.01)
+    assert ReportLeaving("t", "boot1") in commands
     session.scheduler.apply_health_page(True, boot, leaving, 5.0)
     refused = outcomes(session.offer(5.1)[1]) == [Outcome.LEAVING]
     assert refused is not returns
@@ -130,7 +130,7 @@
 
 
 def test_word_of_a_boot_not_met_yet_ends_new_work_until_the_target_speaks() -> None:
-    """An owner that had missed a restart sent work to a target that others knew as leaving."""
+    """An owner that missed a restart sent work to a target that other boxes knew as leaving."""
     session = SchedulerSession()
     commands = session.scheduler.apply_leaving_report("boot2")
     assert CheckHealth("t") in commands
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize("late", ["boot1", ""], ids=["earlier-boot", "no-boot"])
 def test_late_answer_of_an_earlier_boot_hides_no_report(late: str) -> None:
-    """A report on the target's boot would be passed over as one on an earlier boot."""
+    """The late answer made the owner ignore a report, as if it were about an earlier boot."""
     session = SchedulerSession()
     session.scheduler.apply_health_page(True, "boot2", False, 0.1)
     session.scheduler.apply_health_page(True, late, False, 0.2)
@@ -217,7 +217,7 @@
 
 @pytest.mark.parametrize("late", [False, True], ids=["withdrawn", "late"])
 def test_requests_that_one_pause_delayed_do_not_eject_a_target(late: bool) -> None:
-    """A pause of 0.6 s took both targets of a shard out of use, and queries were given up."""
+    """A pause of 0.6 s ejected both targets of a shard, and queries were given up."""
     session = SchedulerSession(slots=8)
     for number in range(40):
         work, _ = session.offer(number * 0.01)
@@ -282,8 +282,8 @@
     assert outcomes(session.scheduler.tick(wake)) == [Outcome.LATE]
 
 
-def slow_line() -> SchedulerSession:
-    """Return a line that believes its target to be too slow for any work of a second."""
+def slow_target() -> SchedulerSession:
+    """Return a scheduler whose target seems too slow for work with a deadline of 1 s."""
     session = SchedulerSession()
     for number in range(20):
         work, _ = session.offer(float(number))
@@ -294,7 +294,7 @@
 
 
 def test_one_trial_at_a_time_goes_to_a_target_thought_too_slow() -> None:
-    session = slow_line()
+    session = slow_target()
     trial, commands = session.offer(30.0)
     assert commands == [SendQuery(trial)]
     assert outcomes(session.offer(30.0)[1]) == [Outcome.SHED]
@@ -307,7 +307,7 @@
     "failure", [Outcome.SHED, Outcome.LATE, Outcome.FAILED, Outcome.WRONG_VERSION], ids=str
 )
 def test_failed_trial_is_followed_by_a_pause(failure: Outcome) -> None:
-    session = slow_line()
+    session = slow_target()
     trial, _ = session.offer(30.0)
     session.scheduler.ended(RequestEnded(trial.key, failure, 0.005, "boot1", False), 30.005)
     assert outcomes(session.offer(30.05)[1]) == [Outcome.SHED]
@@ -316,7 +316,7 @@
 
 
 def test_withdrawn_trial_leaves_room_for_the_next() -> None:
-    session = slow_line()
+    session = slow_target()
     trial, _ = session.offer(30.0)
     session.scheduler.withdraw(trial.key, 30.2)
     later, commands = session.offer(31.5)
@@ -331,7 +331,7 @@
     ],
 )
 def test_restarted_target_is_tried_at_once(boot: str, expected: bool) -> None:
-    """Four failed trials have left it out for eight seconds; then its health page comes."""
+    """After four failed trials the ejection lasts 8 s; the health page shows a restart earlier."""
     session = SchedulerSession()
     now = eject(session)
     for pause_s in (0.6, 1.1, 2.1, 4.1):
--- a/tests/targets/test_client.py
+++ b/tests/targets/test_client.py
@@ -1,4 +1,4 @@
-"""The contract of targets, client against a raw server, with each way to answer in a table."""
+"""The target client against a raw TCP server, for each kind of reply."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 class RawTarget:
-    """Answer each request with given bytes, then close or hang; count what arrives."""
+    """Answer each request with given bytes, then close or wait; record the requests."""
 
     def __init__(self, answer: bytes, close: bool) -> None:
         self._answer = answer
@@ -66,7 +66,7 @@
     anyio.run(main)
 
 
-def test_whole_reply_with_what_its_headers_say() -> None:
+def test_reply_is_complete_and_headers_are_parsed() -> None:
     async def test(client: AiohttpTargetClient, address: str, target: RawTarget) -> None:
         reply = await client.post(address, "/query", BODY, 70.4)
         assert (reply.status, reply.body, reply.boot) == (503, b"{}", "b7")
@@ -111,7 +111,7 @@
         ),
     ],
 )
-def test_whatever_is_not_whole_is_broken_and_never_sent_again(answer: bytes) -> None:
+def test_incomplete_reply_is_broken_and_never_sent_again(answer: bytes) -> None:
     async def test(client: AiohttpTargetClient, address: str, target: RawTarget) -> None:
         with pytest.raises(TargetBrokenError) as raised:
             await client.post(address, "/execute", BODY, 1000.0)
@@ -121,7 +121,7 @@
     with_target(test, answer, close=True)
 
 
-def test_nothing_listens_is_told_from_an_exchange_that_broke() -> None:
+def test_refused_connection_is_unreachable_and_not_broken() -> None:
     async def main() -> None:
         client = AiohttpTargetClient()
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
@@ -136,7 +136,7 @@
     anyio.run(main)
 
 
-def test_connection_is_kept_after_a_whole_answer() -> None:
+def test_connection_is_reused_after_a_complete_answer() -> None:
     async def test(client: AiohttpTargetClient, address: str, target: RawTarget) -> None:
         for _ in range(3):
             await client.post(address, "/query", BODY, 1000.0)
@@ -147,7 +147,7 @@
 
 
 def test_connection_of_a_cancelled_exchange_is_closed() -> None:
-    """Its late answer could else be taken for the next request's."""
+    """Otherwise its late answer could be read as the answer to the next request."""
 
     async def test(client: AiohttpTargetClient, address: str, target: RawTarget) -> None:
         with anyio.move_on_after(0.1):
--- a/trackwheel/targets/__init__.py
+++ b/trackwheel/targets/__init__.py
@@ -1,1 +1,1 @@
-"""The edge towards targets: HTTP as docs/TARGETS.md describes it."""
+"""HTTP client for targets; docs/TARGETS.md describes the protocol."""
--- a/trackwheel/targets/client.py
+++ b/trackwheel/targets/client.py
@@ -1,4 +1,4 @@
-"""The client towards targets, on aiohttp; docs/decisions/0002 has the measurement."""
+"""HTTP client for targets, based on aiohttp; docs/decisions/0002 has the measurement."""
 
 from typing import Final
 
@@ -12,16 +12,16 @@
     HEADER_RUN,
     KEEP_ALIVE_S,
     MAX_ANSWER_BYTES,
-    RUN_NO,
+    RUN_NOT_EXECUTED,
 )
-from trackwheel.targets.errors import broken, closed, unreachable
+from trackwheel.targets.errors import broken_error, closed_error, unreachable_error
 from trackwheel.targets.models import TargetReply
 
 _SKIPPED_HEADERS: Final = ("User-Agent", "Accept-Encoding", "Accept")
 
 
 class AiohttpTargetClient:
-    """Keep connections to targets alive; how many run at a time is the owner's decision."""
+    """Exchange requests over keep-alive connections; the owner limits their concurrency."""
 
     def __init__(self) -> None:
         connector = aiohttp.TCPConnector(
@@ -58,17 +58,17 @@
             ) as response:
                 content = await self._read(response)
         except aiohttp.ClientConnectorError as error:
-            raise unreachable(target, error) from error
+            raise unreachable_error(target, error) from error
         except (aiohttp.ServerDisconnectedError, ConnectionResetError) as error:
-            raise closed(target, error) from error
+            raise closed_error(target, error) from error
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            raise broken(target, error) from error
-        return _reply(response, content)
+            raise broken_error(target, error) from error
+        return _build_reply(response, content)
 
     async def _read(self, response: aiohttp.ClientResponse) -> bytes:
-        """Read the whole body within the size limit; leaving early closes the connection."""
+        """Read the body; an oversized one raises `ValueError`, which closes the connection."""
         if (response.content_length or 0) > MAX_ANSWER_BYTES:
-            raise ValueError("the answer is too large")
+            raise ValueError(f"response body exceeds {MAX_ANSWER_BYTES} bytes")
         if response.content_length is not None:
             return await response.read()
         parts = []
@@ -76,22 +76,22 @@
         async for part in response.content.iter_any():
             size += len(part)
             if size > MAX_ANSWER_BYTES:
-                raise ValueError("the answer is too large")
+                raise ValueError(f"response body exceeds {MAX_ANSWER_BYTES} bytes")
             parts.append(part)
         return b"".join(parts)
 
 
-def _reply(response: aiohttp.ClientResponse, content: bytes) -> TargetReply:
+def _build_reply(response: aiohttp.ClientResponse, content: bytes) -> TargetReply:
     headers = response.headers
     return TargetReply(
         status=response.status,
         boot=headers.get(HEADER_BOOT, ""),
         draining=headers.get(HEADER_DRAINING) == "1",
-        not_run=headers.get(HEADER_RUN) == RUN_NO,
-        retry_after_s=_seconds(headers.get(HEADER_RETRY_AFTER, "")),
+        not_run=headers.get(HEADER_RUN) == RUN_NOT_EXECUTED,
+        retry_after_s=_parse_retry_after_s(headers.get(HEADER_RETRY_AFTER, "")),
         body=content,
     )
 
 
-def _seconds(text: str) -> float:
+def _parse_retry_after_s(text: str) -> float:
     return min(float(text), 3600.0) if text.isdigit() else 0.0
--- a/trackwheel/targets/const.py
+++ b/trackwheel/targets/const.py
@@ -1,4 +1,4 @@
-"""Names on the wire towards targets."""
+"""Headers, paths and limits of the target protocol."""
 
 from typing import Final
 
@@ -7,7 +7,7 @@
 HEADER_BOOT: Final = "Trackwheel-Target-Boot"
 HEADER_DEADLINE: Final = "Trackwheel-Deadline-Ms"
 HEADER_RETRY_AFTER: Final = "Retry-After"
-RUN_NO: Final = "no"
+RUN_NOT_EXECUTED: Final = "no"
 
 PATH_QUERY: Final = "/query"
 PATH_EXECUTE: Final = "/execute"
@@ -16,4 +16,4 @@
 MAX_ANSWER_BYTES: Final = 4_000_000
 KEEP_ALIVE_S: Final = 60.0
 HEALTH_TIMEOUT_S: Final = 0.5
-"""A health page that takes longer is not waited for; it is only a hint."""
+"""Short, because a health page is only a hint."""
--- a/trackwheel/targets/models.py
+++ b/trackwheel/targets/models.py
@@ -1,4 +1,4 @@
-"""What goes to a target and what comes back."""
+"""Messages of the target protocol and the interface of its client."""
 
 from typing import NamedTuple, Protocol
 
@@ -6,7 +6,7 @@
 
 
 class TargetReply(NamedTuple):
-    """Hold a target's whole reply."""
+    """Complete reply of a target."""
 
     status: int
     boot: str
@@ -17,7 +17,7 @@
 
 
 class TargetClient(Protocol):
-    """Exchange requests with targets; cancelling an exchange closes its connection."""
+    """Client for targets; cancelling an exchange closes its connection."""
 
     async def post(self, target: str, path: str, body: bytes, deadline_ms: float) -> TargetReply:
         """Return the whole reply; raise `TargetUnreachableError` or `TargetBrokenError`."""
@@ -30,7 +30,7 @@
 
 
 class AnswerHead(msgspec.Struct):
-    """Read from a query's answer only what the owner checks."""
+    """The fields of a query answer that the owner checks."""
 
     nonce: str
     version: int
@@ -38,7 +38,7 @@
 
 
 class TargetAnswer(msgspec.Struct):
-    """Read a query's whole answer: the items of each shard at one version of the index."""
+    """Complete answer to a query: the items of each shard at one version of the index."""
 
     nonce: str
     version: int
@@ -48,28 +48,28 @@
 
 
 class WrongVersion(msgspec.Struct):
-    """Read a target's refusal of a version that it does not hold."""
+    """Refusal of a version that the target does not hold."""
 
     nonce: str
     holds: list[int]
 
 
 class ExecuteReply(msgspec.Struct):
-    """Read the answer to a request that ran."""
+    """Answer to a request that ran."""
 
     nonce: str
     end: bool
 
 
 class ExecuteRefusal(msgspec.Struct):
-    """Read the refusal of a request that did not run."""
+    """Refusal of a request that did not run."""
 
     nonce: str
     code: str = "refused"
 
 
 class HealthPage(msgspec.Struct):
-    """Read a health page: hints only."""
+    """Health page of a target; its fields are only hints."""
 
     draining: bool = False
     boot: str = ""
