--- a/tests/dispatch/test_reply_classifier.py
+++ b/tests/dispatch/test_reply_classifier.py
@@ -41,7 +41,9 @@
         pytest.param(reply(302, {}), Outcome.FAILED, id="elsewhere"),
     ],
 )
-def test_only_its_own_whole_answer_counts(given: TargetReply, outcome: Outcome) -> None:
+def test_only_a_complete_answer_with_the_own_nonce_is_ok(
+    given: TargetReply, outcome: Outcome
+) -> None:
     assert classify_query_reply(WORK, given)[0] is outcome
 
 
@@ -60,7 +62,7 @@
         pytest.param(reply(503, [], not_run=True), RunOutcome.UNKNOWN, id="no-object"),
     ],
 )
-def test_only_its_own_refusal_proves_that_it_was_not_run(
+def test_only_a_refusal_with_the_own_nonce_proves_not_run(
     given: TargetReply, outcome: RunOutcome
 ) -> None:
     assert classify_execute_reply(WORK, given)[0] is outcome
--- a/tests/dispatch/test_service_time.py
+++ b/tests/dispatch/test_service_time.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("slots", [1, 2, 8])
 @pytest.mark.parametrize("answers_before", [0, 1, 100])
-def test_work_that_waited_out_a_pause_is_done(slots: int, answers_before: int) -> None:
+def test_work_queued_during_a_pause_is_not_refused(slots: int, answers_before: int) -> None:
     """After a single pause of the target, requests were shed for several seconds."""
     session = PausedTarget(slots)
     session.serve(answers_before)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("service_s", [0.03, 0.3], ids=["eight-times", "many-times"])
-def test_slower_target_is_learnt(service_s: float) -> None:
+def test_estimate_follows_a_slower_target(service_s: float) -> None:
     session = PausedTarget()
     session.serve(100)
     session.serve(30, service_s)
@@ -112,7 +112,7 @@
     assert sum(value is not None for value in taken) == learnt
 
 
-def test_first_answer_delayed_by_a_pause_is_not_believed() -> None:
+def test_first_answer_delayed_by_a_pause_is_ignored() -> None:
     service_time = ServiceTime()
     before_s = service_time.mean_s
     assert service_time.add(0.0, PAUSE_S, PAUSE_S) is None
@@ -125,7 +125,7 @@
     ("held_s", "ejected"),
     [pytest.param(0.1, False, id="as-slow"), pytest.param(0.5, True, id="far-slower")],
 )
-def test_first_slow_answer_tells_what_has_stalled(held_s: float, ejected: bool) -> None:
+def test_first_slow_answer_raises_the_stall_threshold(held_s: float, ejected: bool) -> None:
     """On an overloaded machine, a target was ejected as stalled after its first answer."""
     session = PausedTarget()
     session.arrive()
--- a/tests/dispatch/test_sharing.py
+++ b/tests/dispatch/test_sharing.py
@@ -54,7 +54,7 @@
     assert guest / (guest + busy) == pytest.approx(0.5, abs=0.03)
 
 
-def test_idle_group_saves_no_claim_for_later() -> None:
+def test_idle_group_accumulates_no_credit() -> None:
     sim = OneTarget()
     sim.arrivals("busy", 1.0, 600.0, 0.2, 0.0, 9.0)
     sim.arrivals("guest", 1.0, 600.0, 0.2, 0.0, 1.0)
@@ -92,7 +92,7 @@
         pytest.param(6, 2, id="more-than-claimed"),
     ],
 )
-def test_limit_finds_the_true_slots(true_slots: int, claimed: int) -> None:
+def test_limit_converges_to_the_true_slots(true_slots: int, claimed: int) -> None:
     sim = OneTarget(slots=true_slots, claimed=claimed)
     sim.arrivals("a", 1.0, 3.0 * true_slots / 0.01, 0.3, 0.0, 60.0)
     sim.run(60.0)
@@ -101,7 +101,7 @@
     assert sim.line.limit <= true_slots + 2
 
 
-def test_connection_cap_is_never_passed() -> None:
+def test_connection_limit_is_never_exceeded() -> None:
     sim = OneTarget(slots=50, claimed=4, connections=5)
     sim.arrivals("a", 1.0, 5000.0, 0.3, 0.0, 10.0)
     sim.run(11.0)
@@ -118,7 +118,7 @@
     assert sim.peak_sent >= 4
 
 
-def test_shedding_target_is_left_alone_and_recovers_within_two_seconds() -> None:
+def test_shedding_target_gets_little_work_and_recovers_within_two_seconds() -> None:
     sim = OneTarget()
     sim.arrivals("a", 1.0, 300.0, 0.2, 0.0, 20.0)
     sim.run(5.0)
--- a/tests/dispatch/test_target_scheduler.py
+++ b/tests/dispatch/test_target_scheduler.py
@@ -55,7 +55,7 @@
     return [command.outcome for command in commands if isinstance(command, Refuse)]
 
 
-def test_cold_line_reads_the_health_page_before_it_sends() -> None:
+def test_cold_scheduler_reads_health_page_before_sending() -> None:
     session = SchedulerSession(warm=False)
     assert any(isinstance(command, CheckHealth) for command in session.scheduler.initial_commands)
     _, commands = session.offer()
@@ -66,7 +66,7 @@
     )
 
 
-def test_cold_line_does_not_wait_for_a_health_page_for_ever() -> None:
+def test_cold_scheduler_stops_waiting_for_health_page() -> None:
     session = SchedulerSession(warm=False)
     session.offer()
     commands = session.scheduler.tick(session.scheduler.next_wake())
@@ -96,7 +96,7 @@
         assert outcomes(session.offer(now)[1]) == [Outcome.LEAVING]
 
 
-def test_running_work_of_a_leaving_target_is_left_to_end() -> None:
+def test_running_work_of_a_leaving_target_is_not_cancelled() -> None:
     session = SchedulerSession()
     work, _ = session.offer()
     commands = session.scheduler.apply_health_page(True, "boot1", True, 0.01)
@@ -122,14 +122,14 @@
     assert refused is not returns
 
 
-def test_late_word_of_an_old_boot_changes_nothing() -> None:
+def test_leaving_report_of_an_old_boot_is_ignored() -> None:
     session = SchedulerSession()
     session.scheduler.apply_health_page(True, "boot2", False, 1.0)
     session.scheduler.apply_leaving_report("boot1")
     assert outcomes(session.offer(1.1)[1]) == []
 
 
-def test_word_of_a_boot_not_met_yet_ends_new_work_until_the_target_speaks() -> None:
+def test_leaving_report_of_an_unknown_boot_stops_new_work() -> None:
     """An owner that missed a restart sent work to a target that other boxes knew as leaving."""
     session = SchedulerSession()
     commands = session.scheduler.apply_leaving_report("boot2")
@@ -141,7 +141,7 @@
     assert outcomes(session.offer(0.5)[1]) == []
 
 
-def test_word_of_a_boot_before_the_first_one_met_is_over_with_the_next_page() -> None:
+def test_leaving_report_of_an_earlier_unknown_boot_ends_with_next_health_page() -> None:
     session = SchedulerSession()
     session.scheduler.apply_leaving_report("boot0")
     session.scheduler.apply_health_page(True, "boot1", False, 0.1)
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("late", ["boot1", ""], ids=["earlier-boot", "no-boot"])
-def test_late_answer_of_an_earlier_boot_hides_no_report(late: str) -> None:
+def test_late_answer_of_an_earlier_boot_does_not_hide_a_leaving_report(late: str) -> None:
     """The late answer made the owner ignore a report, as if it were about an earlier boot."""
     session = SchedulerSession()
     session.scheduler.apply_health_page(True, "boot2", False, 0.1)
@@ -169,7 +169,7 @@
     return now
 
 
-def test_failing_target_is_ejected_probed_and_let_back_slowly() -> None:
+def test_failing_target_is_ejected_and_readmitted_after_a_trial() -> None:
     session = SchedulerSession()
     now = eject(session)
     assert session.scheduler.ejected(now)
@@ -232,7 +232,7 @@
     assert not session.scheduler.ejected(1.5)
 
 
-def test_withdrawal_is_free_in_the_queue_and_closes_a_running_one() -> None:
+def test_withdrawal_removes_queued_work_and_cancels_running_work() -> None:
     session = SchedulerSession(slots=1)
     running, _ = session.offer()
     waiting, _ = session.offer()
@@ -241,7 +241,7 @@
     assert session.scheduler.running == 0
 
 
-def test_permit_is_asked_with_the_slot_in_hand() -> None:
+def test_permit_is_requested_after_a_slot_is_reserved() -> None:
     session = SchedulerSession(slots=1)
     work, commands = session.offer(once=True)
     assert commands == [AskPermit(work)]
@@ -255,7 +255,7 @@
     ("granted", "expected"),
     [pytest.param(False, 0, id="denied"), pytest.param(True, 1, id="granted-too-late")],
 )
-def test_permit_that_does_not_come_frees_the_slot(granted: bool, expected: int) -> None:
+def test_missing_permit_frees_the_slot(granted: bool, expected: int) -> None:
     session = SchedulerSession(slots=1)
     work, _ = session.offer(once=True)
     other, _ = session.offer()
@@ -272,7 +272,7 @@
     assert session.scheduler.offer(work, 1.0, 0.001) == []
 
 
-def test_late_work_is_dropped_when_this_is_known() -> None:
+def test_work_that_cannot_finish_in_time_is_dropped_before_its_deadline() -> None:
     session = SchedulerSession(slots=1)
     running, _ = session.offer()
     early = session.work(deadline=0.1)
@@ -293,7 +293,7 @@
     return session
 
 
-def test_one_trial_at_a_time_goes_to_a_target_thought_too_slow() -> None:
+def test_slow_target_gets_one_trial_at_a_time() -> None:
     session = slow_target()
     trial, commands = session.offer(30.0)
     assert commands == [SendQuery(trial)]
@@ -306,7 +306,7 @@
 @pytest.mark.parametrize(
     "failure", [Outcome.SHED, Outcome.LATE, Outcome.FAILED, Outcome.WRONG_VERSION], ids=str
 )
-def test_failed_trial_is_followed_by_a_pause(failure: Outcome) -> None:
+def test_failed_trial_is_followed_by_a_backoff(failure: Outcome) -> None:
     session = slow_target()
     trial, _ = session.offer(30.0)
     session.scheduler.ended(RequestEnded(trial.key, failure, 0.005, "boot1", False), 30.005)
@@ -315,7 +315,7 @@
     assert commands == [SendQuery(later)]
 
 
-def test_withdrawn_trial_leaves_room_for_the_next() -> None:
+def test_withdrawn_trial_allows_another_trial() -> None:
     session = slow_target()
     trial, _ = session.offer(30.0)
     session.scheduler.withdraw(trial.key, 30.2)
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -188,7 +188,7 @@
         TRUTH,
         OWN,
         "an answer with another nonce, without its end, in half, of a refusal",
-        "tests/dispatch/test_reply_classifier.py::test_only_its_own_whole_answer_counts",
+        "tests/dispatch/test_reply_classifier.py::test_only_a_complete_answer_with_the_own_nonce_is_ok",
         Mutant(
             "trackwheel/dispatch/reply_classifier.py",
             "own = head.nonce == work.key.wire_nonce() and head.end",
@@ -199,7 +199,7 @@
         TRUTH,
         NOT_RUN,
         "refusals of a permitted request that prove nothing",
-        "tests/dispatch/test_reply_classifier.py::test_only_its_own_refusal_proves_that_it_was_not_run",
+        "tests/dispatch/test_reply_classifier.py::test_only_a_refusal_with_the_own_nonce_proves_not_run",
         Mutant(
             "trackwheel/dispatch/reply_classifier.py",
             "            if refusal.nonce == work.key.wire_nonce():\n",
@@ -267,7 +267,7 @@
         TRUTH,
         NOT_RUN,
         "a permit that comes too late to its owner",
-        LINE + "test_permit_that_does_not_come_frees_the_slot",
+        LINE + "test_missing_permit_frees_the_slot",
     ),
     Row(
         TRUTH,
@@ -284,7 +284,7 @@
         TRUTH,
         AT_ONCE,
         "queued work that can no longer end in time",
-        LINE + "test_late_work_is_dropped_when_this_is_known",
+        LINE + "test_work_that_cannot_finish_in_time_is_dropped_before_its_deadline",
         Mutant(
             "trackwheel/dispatch/target_scheduler.py",
             "drop_before(now + self._limiter.likely_s)",
@@ -312,7 +312,7 @@
         LOAD,
         SHARE,
         "a group that was idle for a while claims no more than its share",
-        SHARING + "test_idle_group_saves_no_claim_for_later",
+        SHARING + "test_idle_group_accumulates_no_credit",
         Mutant(
             "trackwheel/dispatch/fair_queue.py",
             "start = max(self._virtual_time, queue.finish)",
@@ -323,7 +323,7 @@
         LOAD,
         SHARE,
         "slots claimed wrongly in either direction",
-        SHARING + "test_limit_finds_the_true_slots",
+        SHARING + "test_limit_converges_to_the_true_slots",
         Mutant(
             "trackwheel/dispatch/limiter.py",
             "        best = self._best_concurrency()\n        if best != self.limit:",
@@ -334,7 +334,7 @@
         LOAD,
         SHARE,
         "the connection cap under any load",
-        SHARING + "test_connection_cap_is_never_passed",
+        SHARING + "test_connection_limit_is_never_exceeded",
         Mutant(
             "trackwheel/dispatch/limiter.py",
             "self._max_limit = max(1, connections - RESERVED_CONNECTIONS)",
@@ -370,7 +370,7 @@
         LOAD,
         SHARE,
         "a target stays too slow for its work",
-        LINE + "test_failed_trial_is_followed_by_a_pause",
+        LINE + "test_failed_trial_is_followed_by_a_backoff",
         Mutant(
             "trackwheel/dispatch/trial.py", "self._key is None and now >= self._next_at", "True"
         ),
@@ -379,7 +379,7 @@
         LOAD,
         SHARE,
         "a target sheds for five seconds and recovers",
-        SHARING + "test_shedding_target_is_left_alone_and_recovers_within_two_seconds",
+        SHARING + "test_shedding_target_gets_little_work_and_recovers_within_two_seconds",
     ),
     Row(
         LOAD,
@@ -1536,7 +1536,7 @@
         LOAD,
         PAUSE,
         "a target pauses once: what waited and what comes is done",
-        PAUSES + "test_work_that_waited_out_a_pause_is_done",
+        PAUSES + "test_work_queued_during_a_pause_is_not_refused",
         Mutant(
             "trackwheel/stalls.py",
             "max_s = STALL_FACTOR * usual_s",
@@ -1605,7 +1605,7 @@
         FLEET,
         LEAVING,
         "an owner missed a restart of the target of which others say that it leaves",
-        LINE + "test_word_of_a_boot_not_met_yet_ends_new_work_until_the_target_speaks",
+        LINE + "test_leaving_report_of_an_unknown_boot_stops_new_work",
         Mutant(
             "trackwheel/dispatch/target_scheduler.py",
             "if boot in self._past_boots:\n            return []\n        self._leaving = True",
@@ -1616,7 +1616,7 @@
         FLEET,
         LEAVING,
         "an answer of an earlier boot comes late",
-        LINE + "test_late_answer_of_an_earlier_boot_hides_no_report",
+        LINE + "test_late_answer_of_an_earlier_boot_does_not_hide_a_leaving_report",
         Mutant(
             "trackwheel/dispatch/target_scheduler.py",
             "boot = boot or self._boot\n        if boot in self._past_boots:",
