--- a/tests/dispatch/test_sharing.py
+++ b/tests/dispatch/test_sharing.py
@@ -97,7 +97,7 @@
     sim.arrivals("a", 1.0, 3.0 * true_slots / 0.01, 0.3, 0.0, 60.0)
     sim.run(60.0)
     finished = sim.finished
-    assert finished / 60.0 > 0.85 * true_slots / 0.01, "the capacity is used"
+    assert finished / 60.0 > 0.85 * true_slots / 0.01, "the whole capacity is used"
     assert sim.line.limit <= true_slots + 2
 
 
--- a/tests/dispatch/test_target_scheduler.py
+++ b/tests/dispatch/test_target_scheduler.py
@@ -91,7 +91,7 @@
     running, _ = session.offer()
     waiting, commands = session.offer()
     assert commands == []
-    assert Outcome.LEAVING in outcomes(sign(session, running)), "what waits is refused at once"
+    assert Outcome.LEAVING in outcomes(sign(session, running)), "queued work is refused immediately"
     for now in (0.02, 0.5, 2.0, 60.0):
         assert outcomes(session.offer(now)[1]) == [Outcome.LEAVING]
 
@@ -136,7 +136,9 @@
     assert CheckHealth("t") in commands
     assert outcomes(session.offer(0.1)[1]) == [Outcome.LEAVING]
     session.scheduler.apply_health_page(True, "boot2", False, 0.2)
-    assert outcomes(session.offer(0.3)[1]) == [Outcome.LEAVING], "its page lies"
+    assert outcomes(session.offer(0.3)[1]) == [
+        Outcome.LEAVING
+    ], "the health page of a leaving boot is not trusted"
     session.scheduler.apply_health_page(True, "boot3", False, 0.4)
     assert outcomes(session.offer(0.5)[1]) == []
 
@@ -247,8 +249,8 @@
     assert commands == [AskPermit(work)]
     assert session.scheduler.running == 1
     assert session.scheduler.permit(work.key, True, 0.01) == [SendExecute(work)]
-    assert session.scheduler.withdraw(work.key, 0.02) == [], "what may run is not taken back"
-    assert session.scheduler.permit(work.key, True, 0.03) == [], "one grant, one send"
+    assert session.scheduler.withdraw(work.key, 0.02) == [], "permitted work is not withdrawn"
+    assert session.scheduler.permit(work.key, True, 0.03) == [], "one permit sends the work once"
 
 
 @pytest.mark.parametrize(
@@ -278,7 +280,7 @@
     early = session.work(deadline=0.1)
     session.scheduler.offer(early, 1.0, 0.0)
     wake = session.scheduler.next_wake()
-    assert wake < 0.1, "before the deadline, not at it"
+    assert wake < 0.1, "refused before the deadline"
     assert outcomes(session.scheduler.tick(wake)) == [Outcome.LATE]
 
 
@@ -300,7 +302,7 @@
     assert outcomes(session.offer(30.0)[1]) == [Outcome.SHED]
     session.scheduler.ended(RequestEnded(trial.key, Outcome.OK, 0.005, "boot1", False), 30.005)
     again, commands = session.offer(30.01)
-    assert commands == [SendQuery(again)], "what the trial showed counts at once"
+    assert commands == [SendQuery(again)], "the result of the trial applies immediately"
 
 
 @pytest.mark.parametrize(
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1539,7 +1539,7 @@
         PAUSES + "test_work_queued_during_a_pause_is_not_refused",
         Mutant(
             "trackwheel/stalls.py",
-            "max_s = STALL_FACTOR * usual_s",
+            "max_s = STALL_FACTOR * typical_s",
             'max_s = float("inf")',
         ),
     ),
--- a/trackwheel/dispatch/limiter.py
+++ b/trackwheel/dispatch/limiter.py
@@ -65,10 +65,10 @@
         self, concurrency: int, started: float, service_s: float, waiting: bool, now: float
     ) -> None:
         """Record a successful request that ran at a given concurrency."""
-        learnt_s = self.service_time.add(started, service_s, now)
-        if learnt_s is None:
+        sample_s = self.service_time.add(started, service_s, now)
+        if sample_s is None:
             return
-        self._record_service_time(concurrency, learnt_s)
+        self._record_service_time(concurrency, sample_s)
         self._backoff_s = SHED_BACKOFF_INITIAL_S
         if self._in_slow_start:
             self._slow_start()
--- a/trackwheel/dispatch/service_time.py
+++ b/trackwheel/dispatch/service_time.py
@@ -31,21 +31,21 @@
 
     def add(self, started: float, service_s: float, now: float) -> float | None:
         """Add a finished request; return the time added to the estimate, None if it was ignored."""
-        learnt_s = self._stalls.admit(started, service_s, self.mean_s, now)
-        if not self._measured and learnt_s != service_s:
+        sample_s = self._stalls.admit(started, service_s, self.mean_s, now)
+        if not self._measured and sample_s != service_s:
             self._unconfirmed_s = max(self._unconfirmed_s, service_s)
             return None
-        if learnt_s is None:
+        if sample_s is None:
             return None
         if not self._measured:
             self._measured = True
             self._unconfirmed_s = 0.0
-            self.mean_s = learnt_s
+            self.mean_s = sample_s
         self.learnt_at = now
-        deviation_s = abs(learnt_s - self.mean_s)
+        deviation_s = abs(sample_s - self.mean_s)
         self._deviation_s += SERVICE_TIME_SMOOTHING * (deviation_s - self._deviation_s)
-        self.mean_s += SERVICE_TIME_SMOOTHING * (learnt_s - self.mean_s)
-        return learnt_s
+        self.mean_s += SERVICE_TIME_SMOOTHING * (sample_s - self.mean_s)
+        return sample_s
 
     def replace(self, service_s: float) -> None:
         """Replace the estimate by a single service time."""
--- a/trackwheel/dispatch/target_scheduler.py
+++ b/trackwheel/dispatch/target_scheduler.py
@@ -155,8 +155,8 @@
     def _trial_allowed(self, now: float) -> bool:
         """Return whether work refused only because of the estimate may be sent as a trial."""
         busy = self._run_by_key or len(self._queue)
-        held_back = self._cold or now < self._limiter.paused_until
-        return not busy and not held_back and self._trial.allows(now)
+        paused = self._cold or now < self._limiter.paused_until
+        return not busy and not paused and self._trial.allows(now)
 
     def _start_trial(self, work: Work, share: float, now: float) -> list[DispatchCommand]:
         self._trial.begin(work.key)
@@ -172,12 +172,12 @@
             return []
         del self._run_by_key[key]
         self._trial.record_end(key, now)
-        held_s = now - run.started
-        self._queue.charge(run.work.group, held_s - run.charged_s)
+        elapsed_s = now - run.started
+        self._queue.charge(run.work.group, elapsed_s - run.charged_s)
         if run.permit_deadline is not None:
             return self.fill_slots(now)
         commands: list[DispatchCommand] = [CancelSend(key)]
-        if self._record_stall(run, held_s, now):
+        if self._record_stall(run, elapsed_s, now):
             commands += self._apply_ejection(now)
         return commands + self.fill_slots(now)
 
@@ -332,9 +332,9 @@
             return self._apply_ejection(now)
         return []
 
-    def _record_stall(self, run: _Run, held_s: float, now: float) -> bool:
+    def _record_stall(self, run: _Run, elapsed_s: float, now: float) -> bool:
         """Record a stall if the request held its slot for too long; return whether it ejected."""
-        if held_s <= self._limiter.service_time.stall_threshold_s:
+        if elapsed_s <= self._limiter.service_time.stall_threshold_s:
             return False
         return self._ejection.record_stall(run.started, now)
 
--- a/trackwheel/dispatch/trial.py
+++ b/trackwheel/dispatch/trial.py
@@ -1,4 +1,4 @@
-"""Trial requests to a target whose estimated service time exceeds the deadline of all work.
+"""Trial requests to a target whose estimated service time is too long for the offered work.
 
 Refused work yields no new measurement: without trials, a target that was slow for a second would
 get no more work.
--- a/trackwheel/stalls.py
+++ b/trackwheel/stalls.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 STALL_FACTOR: Final = 4.0
-"""A request that takes more than this multiple of the usual time has stalled."""
+"""A request that takes more than this multiple of the typical time has stalled."""
 
 CONFIRM_WITHIN_S: Final = 1.0
 """A second stall confirms a slower target if its request started this soon after the first."""
@@ -21,11 +21,11 @@
     def __init__(self) -> None:
         self._stalled_at: float | None = None
 
-    def admit(self, started: float, took_s: float, usual_s: float, now: float) -> float | None:
+    def admit(self, started: float, took_s: float, typical_s: float, now: float) -> float | None:
         """Return the sample to use for a request, None if an earlier stall explains its delay."""
-        max_s = STALL_FACTOR * usual_s
+        max_s = STALL_FACTOR * typical_s
         if self._stalled_at is not None and started < self._stalled_at:
-            return took_s if took_s <= usual_s else None
+            return took_s if took_s <= typical_s else None
         if took_s <= max_s:
             self._stalled_at = None
             return took_s
