--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -12,12 +12,12 @@
 from bench.virtual_fleet import VirtualFleet
 from trackwheel.dispatch.models import (
     DISPATCH_MESSAGES,
-    Ask,
     Outcome,
     RequestEnded,
     Scatter,
     SendQuery,
     SubAnswer,
+    SubRequest,
 )
 from trackwheel.dispatch.owner import Owner
 from trackwheel.files.keeper import Keeper, digest_of
@@ -118,7 +118,7 @@
 def link_batch(size: int) -> Callable[[], None]:
     """Return encoding and decoding of a scatter with its answers in one frame each."""
     codec = Codec(DISPATCH_MESSAGES)
-    asks = [Ask(n, f"10.0.0.{n}:9000", False) for n in range(size)]
+    asks = [SubRequest(n, f"10.0.0.{n}:9000", False) for n in range(size)]
     scatter = Scatter("0123456789ab-q1", "s", "g", 70.0, 1, "apples", asks)
     answers = [SubAnswer("0123456789ab-q1", n, Outcome.OK, BODY, [], 0, 4, 0) for n in range(size)]
 
@@ -144,7 +144,7 @@
 
     def scatter(group: str) -> None:
         state["number"] += 1
-        ask = [Ask(int(state["number"]), target, False)]
+        ask = [SubRequest(int(state["number"]), target, False)]
         message = Scatter("q", "s", group, 1e9, 1, "x", ask)
         take(owner.scatter("gateway", message, state["now"]))
 
@@ -180,7 +180,7 @@
     owner.set_in_force(InForce(1, {}, {}, {"s": spec}, {}))
     addresses = [instance[0].address for instance in spec.targets_by_instance]
     for number, address in enumerate(addresses):
-        ask = Ask(number, address, False)
+        ask = SubRequest(number, address, False)
         owner.scatter("gateway", Scatter("q", "s", "g", 1e6, 1, "x", [ask]), 0.0)
         owner.apply_health_page(address, True, "b", False, 0.0)
     return owner
--- a/trackwheel/dispatch/models.py
+++ b/trackwheel/dispatch/models.py
@@ -27,7 +27,7 @@
     UNKNOWN = "unknown"
 
 
-class Ask(NamedTuple):
+class SubRequest(NamedTuple):
     """Identify one sub-request of a query; as a last resort an ejected target is used too."""
 
     nonce: int
@@ -44,14 +44,14 @@
     deadline_ms: float
     version: int | None
     query: str
-    asks: list[Ask]
+    sub_requests: list[SubRequest]
 
 
 class Withdraw(NamedTuple):
     """Withdraw sub-requests of a query, or executions that have no permit yet."""
 
     query_id: str
-    asks: list[Ask]
+    sub_requests: list[SubRequest]
 
 
 class SubAnswer(NamedTuple):
--- a/trackwheel/dispatch/owner.py
+++ b/trackwheel/dispatch/owner.py
@@ -98,15 +98,15 @@
         """Submit the sub-requests of a query."""
         commands: list[DispatchCommand] = []
         deadline = now + message.deadline_ms / 1000
-        for ask in message.asks:
+        for sub_request in message.sub_requests:
             work = Work(
-                key=WorkKey(gateway, message.query_id, ask.nonce, ask.target),
+                key=WorkKey(gateway, message.query_id, sub_request.nonce, sub_request.target),
                 service=message.service,
                 group=message.group,
                 deadline=deadline,
                 version=message.version,
                 text=message.query,
-                last_resort=ask.last_resort,
+                last_resort=sub_request.last_resort,
             )
             commands += self._offer(work, now)
         return commands
@@ -129,10 +129,10 @@
     def withdraw(self, gateway: str, message: Withdraw, now: float) -> list[DispatchCommand]:
         """Withdraw sub-requests."""
         commands: list[DispatchCommand] = []
-        for ask in message.asks:
-            scheduler = self._scheduler_by_target.get(ask.target)
+        for sub_request in message.sub_requests:
+            scheduler = self._scheduler_by_target.get(sub_request.target)
             if scheduler is not None:
-                key = WorkKey(gateway, message.query_id, ask.nonce, ask.target)
+                key = WorkKey(gateway, message.query_id, sub_request.nonce, sub_request.target)
                 commands += self._reschedule(scheduler, scheduler.withdraw(key, now))
         return commands
 
--- a/trackwheel/dispatch/service.py
+++ b/trackwheel/dispatch/service.py
@@ -171,9 +171,9 @@
         wait_s = self._guard.retry_after_s(query_fingerprint(message.service, message.query))
         if wait_s <= 0.0:
             return False
-        for ask in message.asks:
+        for sub_request in message.sub_requests:
             answer = SubAnswer(
-                message.query_id, ask.nonce, Outcome.HELD, b"", [], 0.0, 0.0, wait_s * 1000
+                message.query_id, sub_request.nonce, Outcome.HELD, b"", [], 0.0, 0.0, wait_s * 1000
             )
             self._hub.send(gateway, answer)
         return True
--- a/trackwheel/gateway/once.py
+++ b/trackwheel/gateway/once.py
@@ -11,12 +11,12 @@
 from trackwheel.clock import steady_now
 from trackwheel.dispatch.const import EXECUTE_TIMEOUT_S
 from trackwheel.dispatch.models import (
-    Ask,
     ExecuteAnswer,
     ExecuteAsk,
     PermitReply,
     PermitRequest,
     RunOutcome,
+    SubRequest,
     Withdraw,
 )
 from trackwheel.files.models import ServiceSpec
@@ -180,7 +180,9 @@
                 case WithdrawOnce(nonce, target):
                     owner = attempt.owner_by_nonce.get(nonce, "")
                     if owner:
-                        self._hub.send(owner, Withdraw(query_id, [Ask(nonce, target, False)]))
+                        self._hub.send(
+                            owner, Withdraw(query_id, [SubRequest(nonce, target, False)])
+                        )
                 case AnswerPermit(nonce, target, granted):
                     owner = attempt.owner_by_nonce.get(nonce, "")
                     attempt.trace.note("permit", -1, target, owner, str(granted))
--- a/trackwheel/gateway/queries.py
+++ b/trackwheel/gateway/queries.py
@@ -9,7 +9,7 @@
 
 from trackwheel.clock import steady_now
 from trackwheel.dispatch.guard import query_fingerprint
-from trackwheel.dispatch.models import Ask, Outcome, Ping, Pong, Scatter, SubAnswer, Withdraw
+from trackwheel.dispatch.models import Outcome, Ping, Pong, Scatter, SubAnswer, SubRequest, Withdraw
 from trackwheel.files.models import Policy, ServiceSpec
 from trackwheel.fleet.models import Member
 from trackwheel.gateway.admission import Admission, QueryEnd
@@ -220,19 +220,19 @@
         self, running: _Running, commands: list[GatherCommand], query: str
     ) -> Answered | GivenUp | None:
         end: Answered | GivenUp | None = None
-        asks_by_owner_and_version: defaultdict[tuple[str, int | None], list[Ask]]
+        asks_by_owner_and_version: defaultdict[tuple[str, int | None], list[SubRequest]]
         asks_by_owner_and_version = defaultdict(list)
-        withdrawn_by_owner: defaultdict[str, list[Ask]] = defaultdict(list)
+        withdrawn_by_owner: defaultdict[str, list[SubRequest]] = defaultdict(list)
         for command in commands:
             match command:
                 case AskTarget():
                     owner = self._note_ask(running, command)
-                    ask = Ask(command.nonce, command.target, command.last_resort)
+                    ask = SubRequest(command.nonce, command.target, command.last_resort)
                     asks_by_owner_and_version[owner, command.version].append(ask)
                 case WithdrawAsk(nonce, target):
                     asked = running.asked_by_nonce.get(nonce)
                     if asked is not None and asked.owner:
-                        withdrawn_by_owner[asked.owner].append(Ask(nonce, target, False))
+                        withdrawn_by_owner[asked.owner].append(SubRequest(nonce, target, False))
                 case Answered() | GivenUp():
                     end = command
         for owner, asks in withdrawn_by_owner.items():
@@ -252,7 +252,7 @@
         return owner
 
     def _scatter(
-        self, running: _Running, owner: str, version: int | None, asks: list[Ask], query: str
+        self, running: _Running, owner: str, version: int | None, asks: list[SubRequest], query: str
     ) -> None:
         """Send all of a query's asks for one owner in one message."""
         plan = running.gather.plan
@@ -330,7 +330,7 @@
         running.gather.abandon()
         for nonce, asked in running.asked_by_nonce.items():
             if asked.owner:
-                withdraw = Withdraw(query_id, [Ask(nonce, asked.target, False)])
+                withdraw = Withdraw(query_id, [SubRequest(nonce, asked.target, False)])
                 self._hub.send(asked.owner, withdraw)
 
     def _log_given_up(self, running: _Running, end: GivenUp) -> None:
