--- a/trackwheel/dispatch/fair_queue.py
+++ b/trackwheel/dispatch/fair_queue.py
@@ -9,7 +9,7 @@
 from trackwheel.dispatch.const import GROUP_IDLE_S
 from trackwheel.dispatch.models import Work, WorkKey
 
-Entry = tuple[float, int, Work]
+QueueEntry = tuple[float, int, Work]
 """Deadline, arrival number and work, sorted by the first two."""
 
 
@@ -21,7 +21,7 @@
     def __init__(self, share: float, finish: float) -> None:
         self.share = share
         self.finish = finish
-        self.entries: SortedList[Entry] = SortedList()
+        self.entries: SortedList[QueueEntry] = SortedList()
         self.idle_since = 0.0
 
 
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self._queue_by_group: dict[str, _GroupQueue] = {}
-        self._entry_by_key: dict[WorkKey, Entry] = {}
+        self._entry_by_key: dict[WorkKey, QueueEntry] = {}
         self._virtual_time = 0.0
         self._sequence = itertools.count()
 
@@ -102,7 +102,7 @@
         waiting = (queue.entries for queue in self._queue_by_group.values() if queue.entries)
         return min((entries[0][0] for entries in waiting), default=float("inf"))
 
-    def ahead_of(self, group: str, deadline: float) -> int:
+    def count_ahead(self, group: str, deadline: float) -> int:
         """Return the number of queued items of a group that precede new work with a deadline."""
         queue = self._queue_by_group.get(group)
         if queue is None:
@@ -118,7 +118,7 @@
         )
         return share / (share + others)
 
-    def forget_idle(self, now: float) -> None:
+    def remove_idle(self, now: float) -> None:
         """Remove groups that have been idle for `GROUP_IDLE_S` and owe no slot time."""
         for group, queue in list(self._queue_by_group.items()):
             owes = queue.finish > self._virtual_time
--- a/trackwheel/dispatch/target_scheduler.py
+++ b/trackwheel/dispatch/target_scheduler.py
@@ -119,7 +119,7 @@
         pause_s = max(0.0, self._limiter.paused_until - now)
         if not len(self._queue) and self.running < self._limiter.limit:
             return pause_s
-        ahead = self._queue.ahead_of(group, deadline) + 1
+        ahead = self._queue.count_ahead(group, deadline) + 1
         fraction = self._queue.share_fraction(group, share)
         return pause_s + ahead / (self._limiter.rate() * fraction)
 
@@ -268,7 +268,7 @@
             self._next_health_check_at = now + HEALTH_PERIOD_S
             self._cold = False
             commands.append(CheckHealth(self.target))
-        self._queue.forget_idle(now)
+        self._queue.remove_idle(now)
         return commands + self.fill_slots(now)
 
     def next_wake(self) -> float:
