--- a/bench/one_target.py
+++ b/bench/one_target.py
@@ -7,17 +7,17 @@
 from collections.abc import Callable
 from functools import partial
 
-from trackwheel.dispatch.line import TargetLine
 from trackwheel.dispatch.models import (
     CheckHealth,
     DispatchCommand,
-    Ended,
     Outcome,
     Refuse,
+    RequestEnded,
     SendQuery,
     Work,
     WorkKey,
 )
+from trackwheel.dispatch.target_scheduler import TargetScheduler
 from trackwheel.files.models import Policy, ServiceSpec
 
 Action = Callable[[], None]
@@ -55,12 +55,12 @@
         self._most_waiting = most_waiting
         policy = Policy(1.0, 1.0, 1.0)
         service = ServiceSpec("s", claimed, connections, 0.006, 0.05, 0.99, policy, ())
-        self.lines = [TargetLine("t", service, 0.0) for _ in range(lines)]
+        self.lines = [TargetScheduler("t", service, 0.0) for _ in range(lines)]
         for line in self.lines:
-            self.perform(line.first_commands)
+            self.perform(line.initial_commands)
 
     @property
-    def line(self) -> TargetLine:
+    def line(self) -> TargetScheduler:
         """Return the only line of an owned target, the first one of a shared one."""
         return self.lines[0]
 
@@ -124,7 +124,7 @@
 
     def _healthy(self) -> None:
         for line in self.lines:
-            self.perform(line.health(True, "boot", False, self.now))
+            self.perform(line.apply_health_page(True, "boot", False, self.now))
 
     def _serve(self, work: Work) -> None:
         self._sent += 1
@@ -151,7 +151,7 @@
             self.finished += 1
             self.late += self.now > work.deadline
             self.latency_by_group[work.group].append(self.now - arrived)
-        ended = Ended(work.key, outcome, service_s, "boot", False)
+        ended = RequestEnded(work.key, outcome, service_s, "boot", False)
         self.perform(self.lines[int(work.key.gateway)].ended(ended, self.now))
 
 
--- a/tests/dispatch/test_judge.py
+++ b/tests/dispatch/test_reply_classifier.py
@@ -1,11 +1,11 @@
-"""What an owner takes a target's reply for."""
+"""Classification of target replies."""
 
 import json
 
 import pytest
 
-from trackwheel.dispatch.judge import judge_execute, judge_query
 from trackwheel.dispatch.models import Outcome, RunOutcome, Work, WorkKey
+from trackwheel.dispatch.reply_classifier import classify_execute_reply, classify_query_reply
 from trackwheel.targets.models import TargetReply
 
 WORK = Work(WorkKey("g", "q", 1, "t"), "s", "clerks", 1.0, 1, "", False, "id", "boot")
@@ -41,8 +41,10 @@
         pytest.param(reply(302, {}), Outcome.FAILED, id="elsewhere"),
     ],
 )
-def test_only_its_own_whole_answer_counts(given: TargetReply, outcome: Outcome) -> None:
-    assert judge_query(WORK, given)[0] is outcome
+def test_only_a_complete_answer_with_the_own_nonce_is_ok(
+    given: TargetReply, outcome: Outcome
+) -> None:
+    assert classify_query_reply(WORK, given)[0] is outcome
 
 
 @pytest.mark.parametrize(
@@ -60,7 +62,7 @@
         pytest.param(reply(503, [], not_run=True), RunOutcome.UNKNOWN, id="no-object"),
     ],
 )
-def test_only_its_own_refusal_proves_that_it_was_not_run(
+def test_only_a_refusal_with_the_own_nonce_proves_not_run(
     given: TargetReply, outcome: RunOutcome
 ) -> None:
-    assert judge_execute(WORK, given)[0] is outcome
+    assert classify_execute_reply(WORK, given)[0] is outcome
--- a/tests/dispatch/test_service_time.py
+++ b/tests/dispatch/test_service_time.py
@@ -1,10 +1,10 @@
-"""Service times learnt beside pauses: one pause is one observation."""
+"""Service time estimates when targets pause: one pause counts as one sample."""
 
 import pytest
 
-from tests.dispatch.test_line import Commands, LineSession, outcomes
+from tests.dispatch.test_target_scheduler import Commands, SchedulerSession, outcomes
 from trackwheel.dispatch.const import EJECT_AFTER_STALLS
-from trackwheel.dispatch.models import Ended, Outcome, SendQuery, Work
+from trackwheel.dispatch.models import Outcome, RequestEnded, SendQuery, Work
 from trackwheel.dispatch.service_time import ServiceTime
 
 SERVICE_S = 0.004
@@ -12,8 +12,8 @@
 DEADLINE_S = 0.4
 
 
-class PausedTarget(LineSession):
-    """Drive a line whose target answers each request after the usual time, or after a pause."""
+class PausedTarget(SchedulerSession):
+    """Drive a scheduler whose target answers after its usual time, or after a pause."""
 
     def __init__(self, slots: int = 2) -> None:
         super().__init__(slots)
@@ -27,14 +27,14 @@
 
     def arrive(self) -> None:
         work = self.work(deadline=self.now + DEADLINE_S)
-        self.take(self.line.offer(work, 1.0, self.now))
+        self.take(self.scheduler.offer(work, 1.0, self.now))
 
     def answer(self, service_s: float) -> None:
-        """Let all requests at the target end, each after the same time."""
+        """Finish all running requests with the same service time."""
         running, self.sent = self.sent, []
         for work in running:
-            ended = Ended(work.key, Outcome.OK, service_s, "boot1", False)
-            self.take(self.line.ended(ended, self.now))
+            ended = RequestEnded(work.key, Outcome.OK, service_s, "boot1", False)
+            self.take(self.scheduler.ended(ended, self.now))
 
     def serve(self, count: int, service_s: float = SERVICE_S) -> None:
         for _ in range(count):
@@ -45,8 +45,8 @@
 
 @pytest.mark.parametrize("slots", [1, 2, 8])
 @pytest.mark.parametrize("answers_before", [0, 1, 100])
-def test_work_that_waited_out_a_pause_is_done(slots: int, answers_before: int) -> None:
-    """Requests were refused as overload for seconds after their target had paused once."""
+def test_work_queued_during_a_pause_is_not_refused(slots: int, answers_before: int) -> None:
+    """After a single pause of the target, requests were shed for several seconds."""
     session = PausedTarget(slots)
     session.serve(answers_before)
     for _ in range(8):
@@ -58,15 +58,15 @@
         session.now += SERVICE_S
         session.answer(SERVICE_S)
     assert session.refused == []
-    assert session.line.waiting == 0
+    assert session.scheduler.waiting == 0
 
 
 @pytest.mark.parametrize("service_s", [0.03, 0.3], ids=["eight-times", "many-times"])
-def test_slower_target_is_learnt(service_s: float) -> None:
+def test_estimate_follows_a_slower_target(service_s: float) -> None:
     session = PausedTarget()
     session.serve(100)
     session.serve(30, service_s)
-    assert session.line.estimate().mean_s > 0.9 * service_s
+    assert session.scheduler.estimate().mean_s > 0.9 * service_s
 
 
 def test_work_is_still_refused_at_a_target_that_became_too_slow() -> None:
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize(("apart_s", "slower"), APART)
 def test_stalls_far_apart_are_pauses(apart_s: float, slower: bool) -> None:
-    """A target that got nothing after a pause was taken for slow when a second pause met it."""
+    """A target that got no work after a pause counted as slow when it paused a second time."""
     service_time = ServiceTime()
     service_time.add(-1.0, SERVICE_S, -1.0 + SERVICE_S)
     service_time.add(0.0, PAUSE_S, PAUSE_S)
@@ -112,7 +112,7 @@
     assert sum(value is not None for value in taken) == learnt
 
 
-def test_first_answer_delayed_by_a_pause_is_not_believed() -> None:
+def test_first_answer_delayed_by_a_pause_is_ignored() -> None:
     service_time = ServiceTime()
     before_s = service_time.mean_s
     assert service_time.add(0.0, PAUSE_S, PAUSE_S) is None
@@ -125,8 +125,8 @@
     ("held_s", "ejected"),
     [pytest.param(0.1, False, id="as-slow"), pytest.param(0.5, True, id="far-slower")],
 )
-def test_first_slow_answer_tells_what_has_stalled(held_s: float, ejected: bool) -> None:
-    """A target on a starved machine went out of use after its first answer, as if it hung."""
+def test_first_slow_answer_raises_the_stall_threshold(held_s: float, ejected: bool) -> None:
+    """On an overloaded machine, a target was ejected as stalled after its first answer."""
     session = PausedTarget()
     session.arrive()
     session.now = 0.06
@@ -134,12 +134,12 @@
     for _ in range(EJECT_AFTER_STALLS):
         work, _ = session.offer(session.now)
         session.now += held_s
-        session.line.withdraw(work.key, session.now)
-    assert session.line.ejected(session.now) is ejected
+        session.scheduler.withdraw(work.key, session.now)
+    assert session.scheduler.ejected(session.now) is ejected
 
 
 def test_quicker_one_of_the_first_two_answers_is_believed() -> None:
-    """A target whose first answer was slow and whose second one met a pause got no work."""
+    """A target whose first answer was slow and whose second was delayed by a pause got no work."""
     service_time = ServiceTime()
     service_time.add(0.0, 0.04, 0.04)
     service_time.add(0.05, PAUSE_S, 0.05 + PAUSE_S)
@@ -147,7 +147,7 @@
 
 
 def test_second_pause_soon_after_the_first_counts_once() -> None:
-    """A box that paused twice took each request of the second pause for proof of a slow target."""
+    """A box that paused twice counted each request of the second pause as a slow sample."""
     service_time = ServiceTime()
     service_time.add(-1.0, SERVICE_S, -1.0 + SERVICE_S)
     service_time.add(0.0, PAUSE_S, PAUSE_S)
