--- a/tests/gateway/test_board.py
+++ b/tests/gateway/test_board.py
@@ -5,7 +5,7 @@
 import pytest
 
 from trackwheel.gateway.board import Board
-from trackwheel.gateway.const import DEFAULT_HEDGE_S, SCORE_HALF_LIFE_S
+from trackwheel.gateway.const import DEFAULT_HEDGE_DELAY_S, SCORE_HALF_LIFE_S
 
 USUAL_S = 0.005
 PAUSE_S = 0.5
@@ -49,7 +49,7 @@
 def test_hedges_are_as_early_after_a_pause_as_before() -> None:
     board = warm_board()
     before_s = board.hedge_delay("s", 4.0)
-    assert before_s < DEFAULT_HEDGE_S
+    assert before_s < DEFAULT_HEDGE_DELAY_S
     for target in TARGETS:
         pause(board, target, answered=True)
     assert board.hedge_delay("s", 5.0) < 2 * before_s
--- a/tests/gateway/test_budget.py
+++ b/tests/gateway/test_budget.py
@@ -3,7 +3,7 @@
 import pytest
 
 from trackwheel.gateway.budget import Budget
-from trackwheel.gateway.const import BUDGET_CAP, BUDGET_DEBT, BUDGET_START
+from trackwheel.gateway.const import BUDGET_INITIAL, BUDGET_MAX, BUDGET_MAX_DEBT
 
 
 def taken(budget: Budget, count: int) -> int:
@@ -17,14 +17,14 @@
     for _ in range(1000):
         budget.first(30)
         allowed += taken(budget, 30)
-    assert allowed <= part * 30_000 + BUDGET_START
+    assert allowed <= part * 30_000 + BUDGET_INITIAL
     assert allowed >= 0.99 * part * 30_000
 
 
 def test_calm_time_saves_no_more_than_the_cap() -> None:
     budget = Budget(0.05)
     budget.first(1_000_000)
-    assert taken(budget, 10_000) == BUDGET_CAP
+    assert taken(budget, 10_000) == BUDGET_MAX
 
 
 def test_no_part_allows_nothing_but_what_is_owed() -> None:
@@ -41,4 +41,4 @@
     assert not budget.take()
     for _ in range(30):
         budget.first(30)
-    assert taken(budget, 100) >= 0.05 * 900 - BUDGET_DEBT - 1
+    assert taken(budget, 100) >= 0.05 * 900 - BUDGET_MAX_DEBT - 1
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -12,7 +12,7 @@
 from trackwheel.files.models import Policy
 from trackwheel.gateway.board import Board
 from trackwheel.gateway.budget import Budget
-from trackwheel.gateway.const import MAX_VERSION_WAITS
+from trackwheel.gateway.const import MAX_VERSION_RETRIES
 from trackwheel.gateway.gather import Gather
 from trackwheel.gateway.models import (
     Answer,
@@ -432,7 +432,7 @@
     assert not covered & lacking
     if isinstance(session.end, Answered):
         assert answer.coverage >= policy.least_coverage
-    most = 4 * (5 + MAX_VERSION_WAITS)
+    most = 4 * (5 + MAX_VERSION_RETRIES)
     assert len(session.all_asks) <= most, "no ask without bound"
 
 
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -348,7 +348,7 @@
         "tests/gateway/test_budget.py::test_hedges_return_soon_after_an_index_has_flipped",
         Mutant(
             "trackwheel/gateway/budget.py",
-            "max(-BUDGET_DEBT, self._tokens - 1.0)",
+            "max(-BUDGET_MAX_DEBT, self._tokens - 1.0)",
             "self._tokens - 1",
         ),
     ),
--- a/trackwheel/gateway/admission.py
+++ b/trackwheel/gateway/admission.py
@@ -10,14 +10,14 @@
 from typing import NamedTuple
 
 from trackwheel.gateway.const import (
-    LEAST_RETRY_AFTER_S,
-    MOST_RETRY_AFTER_S,
-    RETRY_SPREAD,
-    WINDOW_BACK_OFF,
-    WINDOW_DELAY_PART,
-    WINDOW_LEAST,
-    WINDOW_MOST,
-    WINDOW_START,
+    MAX_RETRY_AFTER_S,
+    MIN_RETRY_AFTER_S,
+    RETRY_AFTER_JITTER,
+    WINDOW_DECREASE_FACTOR,
+    WINDOW_DELAY_FRACTION,
+    WINDOW_INITIAL,
+    WINDOW_MAX,
+    WINDOW_MIN,
 )
 
 
@@ -34,7 +34,7 @@
     """Adapt how many queries of one group at one service run through this gateway."""
 
     def __init__(self) -> None:
-        self.size = WINDOW_START
+        self.size = WINDOW_INITIAL
         self.running = 0
         self._mean_s = 0.0
         self._shrunk_at = 0.0
@@ -52,10 +52,10 @@
         self.running -= 1
         took_s = now - end.started
         self._mean_s += 0.1 * (took_s - self._mean_s)
-        if end.shed or end.longest_delay_s > WINDOW_DELAY_PART * end.deadline_s:
+        if end.shed or end.longest_delay_s > WINDOW_DELAY_FRACTION * end.deadline_s:
             self._shrink(end, now)
         elif full:
-            self.size = min(WINDOW_MOST, self.size + 1.0 / self.size)
+            self.size = min(WINDOW_MAX, self.size + 1.0 / self.size)
 
     def wait_s(self) -> float:
         """Return how long it takes until there is room for one more (seconds)."""
@@ -66,7 +66,7 @@
         if end.started < self._shrunk_at:
             return
         self._shrunk_at = now
-        self.size = max(WINDOW_LEAST, self.size * WINDOW_BACK_OFF)
+        self.size = max(WINDOW_MIN, self.size * WINDOW_DECREASE_FACTOR)
 
 
 class Admission:
@@ -91,6 +91,6 @@
 
     def retry_after(self, needed_s: float) -> float:
         """Return when to come back, spread so that callers do not return together."""
-        least = max(LEAST_RETRY_AFTER_S, needed_s)
-        spread = self._random.uniform(0.0, RETRY_SPREAD * least)
-        return min(MOST_RETRY_AFTER_S, least + spread)
+        least = max(MIN_RETRY_AFTER_S, needed_s)
+        spread = self._random.uniform(0.0, RETRY_AFTER_JITTER * least)
+        return min(MAX_RETRY_AFTER_S, least + spread)
--- a/trackwheel/gateway/board.py
+++ b/trackwheel/gateway/board.py
@@ -6,18 +6,18 @@
 from hdrh.histogram import HdrHistogram
 
 from trackwheel.gateway.const import (
-    DEFAULT_HEDGE_S,
-    DELAY_VALID_S,
-    EJECTED_VALID_S,
+    DEFAULT_HEDGE_DELAY_S,
+    EJECTION_TTL_S,
+    HEDGE_DELAY_REFRESH_S,
     HEDGE_PERCENTILE,
-    HEDGE_REFRESH_S,
     LATENCY_SMOOTHING,
     LATENCY_WINDOW_S,
-    LEAST_HEDGE_S,
-    LEAVING_VALID_S,
-    NOTES_LIFETIME_S,
+    LEAVING_TTL_S,
+    MIN_HEDGE_DELAY_S,
+    QUEUE_DELAY_TTL_S,
     SCORE_HALF_LIFE_S,
-    SCORE_NOISE,
+    SCORE_JITTER,
+    TARGET_STATS_TTL_S,
 )
 from trackwheel.stalls import StallFilter
 from trackwheel.telemetry.const import LEAST_US, MOST_US
@@ -34,7 +34,7 @@
         self._last: Any = HdrHistogram(LEAST_US, MOST_US, _DIGITS)
         self._turn_at = 0.0
         self._fresh_until = 0.0
-        self._quantile_s = DEFAULT_HEDGE_S
+        self._quantile_s = DEFAULT_HEDGE_DELAY_S
 
     def record(self, seconds: float, now: float) -> None:
         """Take one latency."""
@@ -48,12 +48,12 @@
         """Return the quantile at which a hedge is worth its load (seconds)."""
         if now < self._fresh_until:
             return self._quantile_s
-        self._fresh_until = now + HEDGE_REFRESH_S
+        self._fresh_until = now + HEDGE_DELAY_REFRESH_S
         histograms = (self._current, self._last)
         filled = [h for h in histograms if h.get_total_count() >= _LEAST_SAMPLES]
         if filled:
             values = [h.get_value_at_percentile(HEDGE_PERCENTILE) for h in filled]
-            self._quantile_s = max(LEAST_HEDGE_S, max(values) / 1e6)
+            self._quantile_s = max(MIN_HEDGE_DELAY_S, max(values) / 1e6)
         return self._quantile_s
 
 
@@ -83,7 +83,7 @@
 
     def admit(self, seconds: float, now: float) -> float | None:
         """Return what to learn from a request that took so long, None for nothing."""
-        usual_s = self.latency_s or DEFAULT_HEDGE_S
+        usual_s = self.latency_s or DEFAULT_HEDGE_DELAY_S
         return self.stalls.admit(now - seconds, seconds, usual_s, now)
 
     def smooth(self, seconds: float, now: float) -> None:
@@ -108,7 +108,7 @@
         self._notes_by_target = {
             name: notes
             for name, notes in kept
-            if notes.under_way or now - notes.learnt_at < NOTES_LIFETIME_S
+            if notes.under_way or now - notes.learnt_at < TARGET_STATS_TTL_S
         }
         left = self._leaving_until_by_target.items()
         self._leaving_until_by_target = {name: end for name, end in left if end > now}
@@ -119,7 +119,7 @@
         After a while its owner is asked again, since only the owner sees it come back; while it
         is leaving, the owner refuses at once and nothing reaches the target.
         """
-        self._leaving_until_by_target[target] = now + LEAVING_VALID_S
+        self._leaving_until_by_target[target] = now + LEAVING_TTL_S
 
     def learn_latency(self, service: str, target: str, seconds: float, now: float) -> None:
         """Take how long a target's answer took, seen from this gateway."""
@@ -161,7 +161,7 @@
 
     def learn_ejected(self, target: str, now: float) -> None:
         """Take that the owner leaves a target out."""
-        self._notes(target).ejected_until = now + EJECTED_VALID_S
+        self._notes(target).ejected_until = now + EJECTION_TTL_S
 
     def learn_version(self, service: str, version: int) -> None:
         """Take the version of a service's index that was last answered from."""
@@ -197,9 +197,9 @@
         notes = self._notes(target)
         age_s = now - notes.learnt_at
         faded: float = notes.latency_s * 0.5 ** (age_s / SCORE_HALF_LIFE_S)
-        queue_s = notes.delay_s if now - notes.delay_at < DELAY_VALID_S else 0.0
+        queue_s = notes.delay_s if now - notes.delay_at < QUEUE_DELAY_TTL_S else 0.0
         queue_s += notes.under_way * notes.service_s
-        return (faded + queue_s) * self._random.uniform(1 - SCORE_NOISE, 1 + SCORE_NOISE)
+        return (faded + queue_s) * self._random.uniform(1 - SCORE_JITTER, 1 + SCORE_JITTER)
 
     def _notes(self, target: str) -> _TargetNotes:
         notes = self._notes_by_target.get(target)
--- a/trackwheel/gateway/budget.py
+++ b/trackwheel/gateway/budget.py
@@ -1,6 +1,6 @@
 """The one budget from which all extra load on targets is paid."""
 
-from trackwheel.gateway.const import BUDGET_CAP, BUDGET_DEBT, BUDGET_START
+from trackwheel.gateway.const import BUDGET_INITIAL, BUDGET_MAX, BUDGET_MAX_DEBT
 
 
 class Budget:
@@ -8,7 +8,7 @@
 
     def __init__(self, part: float) -> None:
         self.part = part
-        self._tokens = BUDGET_START if part > 0 else 0.0
+        self._tokens = BUDGET_INITIAL if part > 0 else 0.0
         self.first_tries = 0
         self.extras = 0
         self.denied = 0
@@ -21,7 +21,7 @@
     def first(self, count: int) -> None:
         """Count first tries."""
         self.first_tries += count
-        self._tokens = min(BUDGET_CAP, self._tokens + count * self.part)
+        self._tokens = min(BUDGET_MAX, self._tokens + count * self.part)
 
     def take(self, owed: bool = False) -> bool:
         """Pay for one extra sub-request; return False when the budget is used up.
@@ -33,6 +33,6 @@
         if self._tokens < 1.0 and not owed:
             self.denied += 1
             return False
-        self._tokens = max(-BUDGET_DEBT, self._tokens - 1.0)
+        self._tokens = max(-BUDGET_MAX_DEBT, self._tokens - 1.0)
         self.extras += 1
         return True
--- a/trackwheel/gateway/execution.py
+++ b/trackwheel/gateway/execution.py
@@ -4,7 +4,7 @@
 
 from trackwheel.dispatch.models import ExecuteAnswer, Outcome, PermitRequest, RunOutcome
 from trackwheel.gateway.board import Board
-from trackwheel.gateway.const import LEAST_RETRY_AFTER_S
+from trackwheel.gateway.const import MIN_RETRY_AFTER_S
 from trackwheel.gateway.ledger import Ledger
 
 
@@ -64,7 +64,7 @@
         self._permitted = False
         self._tried: set[str] = set()
         self._reason = "no_target"
-        self._retry_after_s = LEAST_RETRY_AFTER_S
+        self._retry_after_s = MIN_RETRY_AFTER_S
         self.settled = False
 
     def start(self, now: float) -> list[ExecutionCommand]:
--- a/trackwheel/gateway/gather.py
+++ b/trackwheel/gateway/gather.py
@@ -6,11 +6,11 @@
 from trackwheel.gateway.board import Board
 from trackwheel.gateway.budget import Budget
 from trackwheel.gateway.const import (
-    LEAST_RETRY_AFTER_S,
-    MAX_ASK_RATIO,
-    MAX_VERSION_WAITS,
-    VERSION_RETRY_FIRST_S,
-    VERSION_RETRY_LAST_S,
+    MAX_ATTEMPTS_PER_TARGET,
+    MAX_VERSION_RETRIES,
+    MIN_RETRY_AFTER_S,
+    VERSION_RETRY_MAX_S,
+    VERSION_RETRY_MIN_S,
 )
 from trackwheel.gateway.models import (
     Answered,
@@ -53,7 +53,7 @@
         """Targets to which nothing was sent since their owners have ejected them."""
         self.reason = "not_answered"
         self.retry_at: float | None = None
-        self.retry_wait_s = VERSION_RETRY_FIRST_S
+        self.retry_wait_s = VERSION_RETRY_MIN_S
 
 
 class Gather:
@@ -218,17 +218,17 @@
     def _ask_later(self, number: int, now: float) -> None:
         instance = self._instances[number]
         instance.retry_at = now + instance.retry_wait_s
-        instance.retry_wait_s = min(VERSION_RETRY_LAST_S, instance.retry_wait_s * 2)
+        instance.retry_wait_s = min(VERSION_RETRY_MAX_S, instance.retry_wait_s * 2)
 
     def _may_wait(self, number: int, now: float) -> bool:
         """Return whether a target that lags may get the chosen version soon."""
         lagging = tuple(sorted(self._lacking_targets(number)))
-        if self._instances[number].asks >= self._most_asks(number) + MAX_VERSION_WAITS:
+        if self._instances[number].asks >= self._most_asks(number) + MAX_VERSION_RETRIES:
             return False
         return self._board.choose(lagging, set(), now) is not None
 
     def _most_asks(self, number: int) -> int:
-        return MAX_ASK_RATIO * len(self.plan.targets_by_instance[number]) + 1
+        return MAX_ATTEMPTS_PER_TARGET * len(self.plan.targets_by_instance[number]) + 1
 
     def _take_failure(self, ask: _Ask, event: ShardAnswer, now: float) -> None:
         if event.outcome is Outcome.EJECTED:
@@ -250,7 +250,7 @@
         instance = self._instances[number]
         most = self._most_asks(number)
         if instance.reason == OTHER_VERSION:
-            most += MAX_VERSION_WAITS
+            most += MAX_VERSION_RETRIES
         possible = instance.asks < most and self._any_target(number, now)
         if possible and (free or self._budget.take(owed)):
             self._ask_next(number, now, "retry")
@@ -391,5 +391,5 @@
         if answer.coverage >= self.plan.policy.least_coverage and snapshot is not None:
             self._commands.append(Answered(answer))
             return
-        retry_s = max(LEAST_RETRY_AFTER_S, self._retry_after_s)
+        retry_s = max(MIN_RETRY_AFTER_S, self._retry_after_s)
         self._commands.append(GivenUp(answer, self._shed, retry_s))
--- a/trackwheel/gateway/http.py
+++ b/trackwheel/gateway/http.py
@@ -18,7 +18,7 @@
     HEADER_QUERY_ID,
     HEADER_RETRY_AFTER_MS,
     MAX_DEADLINE_S,
-    MAX_IDS_PER_CALL,
+    MAX_IDS_PER_REQUEST,
     PATH_EXECUTE,
     PATH_IDS,
     PATH_QUERY,
@@ -140,8 +140,8 @@
 
     async def _ids(self, request: Request, group: GroupSpec) -> Response:
         body = await read_body(request, IdsBody)
-        if not 1 <= body.count <= MAX_IDS_PER_CALL:
-            detail = f"count lies between 1 and {MAX_IDS_PER_CALL}"
+        if not 1 <= body.count <= MAX_IDS_PER_REQUEST:
+            detail = f"count lies between 1 and {MAX_IDS_PER_REQUEST}"
             raise refuse(Code.BAD_REQUEST, "read", detail, "Ask for fewer ids at a time")
         ids = self._once.issue(group.name, body.count)
         return sealed(msgspec.json.encode({"ids": ids, "end": True}), {})
--- a/trackwheel/gateway/ledger.py
+++ b/trackwheel/gateway/ledger.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from trackwheel.dispatch.models import RunOutcome
-from trackwheel.gateway.const import ID_LIFETIME_S, MAX_REMEMBERED
+from trackwheel.gateway.const import ID_LIFETIME_S, MAX_RECORDS
 
 _MAC_DIGITS = 16
 _ID_PARTS = 4
@@ -156,7 +156,7 @@
         if now * 1000 - parsed.issued_ms > ID_LIFETIME_S * 1000:
             # Its record may have been forgotten, so nothing certain can be said any more.
             return Decision(Verdict.EXPIRED)
-        if len(self._record_by_id) >= MAX_REMEMBERED:
+        if len(self._record_by_id) >= MAX_RECORDS:
             return Decision(Verdict.FULL)
         record = self._record_by_id[request_id] = _Record(digest)
         return self._start(record)
--- a/trackwheel/gateway/once.py
+++ b/trackwheel/gateway/once.py
@@ -39,7 +39,7 @@
 from trackwheel.peers.models import PeerIdentity
 from trackwheel.telemetry.explain import Trace, Traces
 
-LATE_ANSWERS_S = EXECUTE_TIMEOUT_S + 5.0
+LATE_ANSWER_TIMEOUT_S = EXECUTE_TIMEOUT_S + 5.0
 """How long an attempt that was given up still takes the answer of its target."""
 
 
@@ -222,7 +222,7 @@
         )
         del self._attempt_by_request_id[request.request_id]
         query_id = attempt.execution.plan.query_id
-        self._late_until_by_query_id[query_id] = steady_now() + LATE_ANSWERS_S
+        self._late_until_by_query_id[query_id] = steady_now() + LATE_ANSWER_TIMEOUT_S
         attempt.changed.set()
         attempt.inbox.put(_WasSettled())
 
--- a/trackwheel/gateway/owner_watch.py
+++ b/trackwheel/gateway/owner_watch.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from trackwheel.gateway.const import PING_AFTER_S, SILENT_AFTER_S
+from trackwheel.gateway.const import OWNER_TIMEOUT_S, PING_AFTER_S
 
 
 class PingOwner(NamedTuple):
@@ -45,10 +45,10 @@
         """Do what is due."""
         commands: list[WatchCommand] = []
         for owner, since in list(self._unheard_since_by_owner.items()):
-            if now >= since + 2 * SILENT_AFTER_S:
+            if now >= since + 2 * OWNER_TIMEOUT_S:
                 # This box was away itself: what it did not hear says nothing of others.
                 self._pinged.discard(owner)
-            if now >= since + SILENT_AFTER_S and owner in self._pinged:
+            if now >= since + OWNER_TIMEOUT_S and owner in self._pinged:
                 self.heard(owner)
                 commands.append(OwnerSilent(owner))
             elif now >= since + PING_AFTER_S and owner not in self._pinged:
@@ -62,7 +62,7 @@
         """Return when `tick` is next needed (seconds)."""
         return min(
             (
-                since + (SILENT_AFTER_S if owner in self._pinged else PING_AFTER_S)
+                since + (OWNER_TIMEOUT_S if owner in self._pinged else PING_AFTER_S)
                 for owner, since in self._unheard_since_by_owner.items()
             ),
             default=float("inf"),
