--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -10,7 +10,6 @@
 from tests.golden import Transcript
 from trackwheel.dispatch.models import Outcome
 from trackwheel.files.models import Policy
-from trackwheel.gateway.board import Board
 from trackwheel.gateway.budget import Budget
 from trackwheel.gateway.const import MAX_VERSION_RETRIES
 from trackwheel.gateway.gather import Gather
@@ -25,6 +24,7 @@
     Snapshot,
     WithdrawAsk,
 )
+from trackwheel.gateway.target_selector import TargetSelector
 
 STRICT = Policy(deadline_s=0.1, wait_s=0.1, least_coverage=1.0)
 PATIENT = Policy(deadline_s=0.1, wait_s=0.4, least_coverage=0.9)
@@ -41,9 +41,9 @@
         policy: Policy = STRICT,
         hint: int | None = None,
         budget: float = 1.0,
-        board: Board | None = None,
+        selector: TargetSelector | None = None,
     ) -> None:
-        self.board = board or Board(seed=1)
+        self.selector = selector or TargetSelector(seed=1)
         self.budget = Budget(budget)
         targets = tuple(
             tuple(f"t{number}{'abc'[replica]}" for replica in range(replicas))
@@ -51,7 +51,7 @@
         )
         plan = Plan("q1", "ledger", "clerks", policy, targets, hint)
         self.instances = instances
-        self.gather = Gather(plan, self.board, self.budget, 0.0)
+        self.gather = Gather(plan, self.selector, self.budget, 0.0)
         self.open: dict[int, AskTarget] = {}
         self.all_asks: list[AskTarget] = []
         self.end: Answered | GivenUp | None = None
@@ -304,30 +304,30 @@
 
 
 def test_leaving_target_is_not_asked() -> None:
-    board = Board(seed=1)
-    board.learn_leaving("t1a", 0.0)
-    session = Session(board=board)
+    selector = TargetSelector(seed=1)
+    selector.mark_leaving("t1a", 0.0)
+    session = Session(selector=selector)
     assert "t1a" not in [ask.target for ask in session.all_asks]
-    board.learn_leaving("t1b", 0.0)
-    session = Session(board=board, policy=QUICK)
+    selector.mark_leaving("t1b", 0.0)
+    session = Session(selector=selector, policy=QUICK)
     assert not any(ask.instance == 1 for ask in session.all_asks)
 
 
 def test_owner_of_a_leaving_target_is_asked_again_after_a_while() -> None:
     """Targets come back under load; their owner sees that, not the gateway."""
-    board = Board(seed=1)
-    board.learn_leaving("t1a", 0.0)
-    assert board.choose(("t1a",), set(), 0.9) is None
-    assert board.choose(("t1a",), set(), 1.1) == "t1a"
+    selector = TargetSelector(seed=1)
+    selector.mark_leaving("t1a", 0.0)
+    assert selector.choose(("t1a",), set(), 0.9) is None
+    assert selector.choose(("t1a",), set(), 1.1) == "t1a"
 
 
 def test_last_replicas_are_asked_even_when_ejected() -> None:
     session = Session()
     session.fail(session.ask_of(0), Outcome.EJECTED)
     session.fail(session.ask_of(0), Outcome.EJECTED)
-    resort = session.ask_of(0)
-    assert resort.last_resort
-    session.answer(resort)
+    fallback = session.ask_of(0)
+    assert fallback.last_resort
+    session.answer(fallback)
     session.answer(session.ask_of(1))
     session.answer(session.ask_of(2))
     assert session.result.whole
@@ -337,13 +337,13 @@
 @pytest.mark.parametrize("last", [Outcome.LEAVING, Outcome.FAILED, Outcome.SHED], ids=str)
 def test_ejected_replica_is_asked_when_the_other_one_is_lost(last: Outcome, told: bool) -> None:
     """Queries were given up beside a target that was ejected, but answered again."""
-    board = Board(seed=1)
+    selector = TargetSelector(seed=1)
     if told:
-        board.learn_ejected("t0b", 0.0)
-        session = Session(board=board)
+        selector.mark_ejected("t0b", 0.0)
+        session = Session(selector=selector)
         assert session.ask_of(0).target == "t0a"
     else:
-        session = Session(board=board)
+        session = Session(selector=selector)
         session.fail(session.ask_of(0), Outcome.EJECTED)
     session.fail(session.ask_of(0), last)
     assert session.ask_of(0).last_resort
@@ -447,7 +447,7 @@
             session.answer(ask, version=1)
     assert session.result.snapshot == Snapshot(1, instances)
     assert session.result.whole
-    assert session.board.version("ledger") == 1
+    assert session.selector.last_version("ledger") == 1
 
 
 def test_one_replica_that_lags_does_not_move_the_others() -> None:
@@ -464,10 +464,10 @@
     [pytest.param("ejected", id="ejected"), pytest.param("leaving", id="leaving")],
 )
 def test_lagging_instance_is_awaited_when_its_other_target_is_out(lost: str) -> None:
-    board = Board(seed=1)
-    learn = board.learn_ejected if lost == "ejected" else board.learn_leaving
+    selector = TargetSelector(seed=1)
+    learn = selector.mark_ejected if lost == "ejected" else selector.mark_leaving
     learn("t2a", 0.0)
-    session = Session(hint=2, board=board, policy=STRICT)
+    session = Session(hint=2, selector=selector, policy=STRICT)
     session.answer(session.ask_of(0), version=2)
     session.answer(session.ask_of(1), version=2)
     assert session.ask_of(2).target == "t2b"
--- a/tests/gateway/test_once.py
+++ b/tests/gateway/test_once.py
@@ -6,7 +6,6 @@
 
 from tests.golden import Transcript
 from trackwheel.dispatch.models import ExecuteAnswer, Outcome, PermitRequest, RunOutcome
-from trackwheel.gateway.board import Board
 from trackwheel.gateway.const import ID_LIFETIME_S
 from trackwheel.gateway.execution import (
     AnswerPermit,
@@ -17,6 +16,7 @@
     Settled,
 )
 from trackwheel.gateway.ledger import Ledger, Verdict, parse_id
+from trackwheel.gateway.target_selector import TargetSelector
 
 BODY = b"promise pallet 7"
 
@@ -99,7 +99,7 @@
     def __init__(self, ledger: Ledger, request_id: str, attempt: int, replicas: int = 2) -> None:
         targets = tuple(f"t{number}" for number in range(replicas))
         plan = ExecutionPlan("x1", request_id, attempt, targets, 1.0)
-        self.execution = Execution(plan, ledger, Board(seed=1))
+        self.execution = Execution(plan, ledger, TargetSelector(seed=1))
         self.asks: list[AskOnce] = []
         self.granted: list[AnswerPermit] = []
         self.settled: Settled | None = None
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -42,7 +42,7 @@
 LINE = "tests/dispatch/test_line.py::"
 SHARING = "tests/dispatch/test_sharing.py::"
 PAUSES = "tests/dispatch/test_service_time.py::"
-REPLICAS = "tests/gateway/test_board.py::"
+REPLICAS = "tests/gateway/test_target_selector.py::"
 MEMBERS = "tests/fleet/test_membership.py::"
 SHARDS = "tests/relay/test_gather.py::"
 HOMES = "tests/relay/test_homes.py::"
@@ -113,7 +113,7 @@
         GATHER + "test_lagging_instance_is_awaited_when_its_other_target_is_out",
         Mutant(
             "trackwheel/gateway/gather.py",
-            "        self._instances[number].tried = lacks if able else set()\n",
+            "        self._instances[number].tried = lacks if available else set()\n",
             "        self._instances[number].tried = lacks\n",
         ),
     ),
@@ -1574,7 +1574,7 @@
         "a replica pauses once: it gets work again",
         REPLICAS + "test_target_that_paused_once_gets_work_again_soon",
         Mutant(
-            "trackwheel/gateway/board.py",
+            "trackwheel/gateway/target_selector.py",
             "return self.stalls.admit(now - seconds, seconds, usual_s, now)",
             "return seconds",
         ),
--- a/trackwheel/app.py
+++ b/trackwheel/app.py
@@ -20,12 +20,12 @@
 from trackwheel.fleet.models import FLEET_MESSAGES, Member, Status, TargetNote
 from trackwheel.fleet.service import FleetService
 from trackwheel.garbage import tune_garbage_collection
-from trackwheel.gateway.board import Board
 from trackwheel.gateway.forwarding import Forwarder
 from trackwheel.gateway.http import CallersApp
 from trackwheel.gateway.models import GATEWAY_MESSAGES
 from trackwheel.gateway.once import OnceRunner
 from trackwheel.gateway.queries import QueryRunner
+from trackwheel.gateway.target_selector import TargetSelector
 from trackwheel.operators import OperatorsApp
 from trackwheel.peers.codec import Codec
 from trackwheel.peers.hub import Hub
@@ -88,7 +88,7 @@
         self.events = EventLog(settings.box_id)
         self.traces = Traces()
         self.burn = Burn()
-        self.board = Board(seed=0)
+        self.board = TargetSelector(seed=0)
         self.fleet = FleetService(
             self.hub, self._own_member(), self._timing(), self.box_list, seed=os.getpid()
         )
@@ -200,12 +200,12 @@
     def _take_notes(self, notes: tuple[TargetNote, ...]) -> None:
         self.dispatch.apply_leaving_report(notes)
         for note in notes:
-            self.board.learn_leaving(note.address, steady_now())
+            self.board.mark_leaving(note.address, steady_now())
 
     def _take_in_force(self, in_force: InForce) -> None:
         self.fleet.set_files_revision(in_force.revision)
         self.dispatch.set_in_force(in_force)
-        self.board.forget_old(steady_now())
+        self.board.evict_stale(steady_now())
 
 
 async def run_box(settings: Settings) -> None:
--- a/trackwheel/gateway/budget.py
+++ b/trackwheel/gateway/budget.py
@@ -14,7 +14,7 @@
         self.denied = 0
 
     @property
-    def left(self) -> float:
+    def balance(self) -> float:
         """Return how many extra sub-requests may be sent now; negative while in debt."""
         return self._tokens
 
--- a/trackwheel/gateway/execution.py
+++ b/trackwheel/gateway/execution.py
@@ -3,9 +3,9 @@
 from typing import NamedTuple
 
 from trackwheel.dispatch.models import ExecuteAnswer, Outcome, PermitRequest, RunOutcome
-from trackwheel.gateway.board import Board
 from trackwheel.gateway.const import MIN_RETRY_AFTER_S
 from trackwheel.gateway.ledger import Ledger
+from trackwheel.gateway.target_selector import TargetSelector
 
 
 class AskOnce(NamedTuple):
@@ -55,10 +55,10 @@
 class Execution:
     """Decide, from events and the time, how one attempt goes on."""
 
-    def __init__(self, plan: ExecutionPlan, ledger: Ledger, board: Board) -> None:
+    def __init__(self, plan: ExecutionPlan, ledger: Ledger, selector: TargetSelector) -> None:
         self.plan = plan
         self._ledger = ledger
-        self._board = board
+        self._selector = selector
         self._nonce = 0
         self._target = ""
         self._permitted = False
@@ -101,9 +101,9 @@
         self._reason = answer.reason
         self._retry_after_s = max(self._retry_after_s, answer.retry_after_ms / 1000)
         if answer.reason == Outcome.LEAVING:
-            self._board.learn_leaving(self._target, now)
+            self._selector.mark_leaving(self._target, now)
         elif answer.reason == Outcome.EJECTED:
-            self._board.learn_ejected(self._target, now)
+            self._selector.mark_ejected(self._target, now)
         return self._ask_next(now)
 
     def owner_lost(self, now: float) -> list[ExecutionCommand]:
@@ -128,7 +128,7 @@
         return self._target
 
     def _ask_next(self, now: float) -> list[ExecutionCommand]:
-        target = self._board.choose(self.plan.targets, self._tried, now)
+        target = self._selector.choose(self.plan.targets, self._tried, now)
         if target is None or now >= self.plan.deadline:
             return self._give_up(self._reason)
         self._nonce += 1
--- a/trackwheel/gateway/gather.py
+++ b/trackwheel/gateway/gather.py
@@ -3,7 +3,6 @@
 from typing import Final, NamedTuple
 
 from trackwheel.dispatch.models import Outcome
-from trackwheel.gateway.board import Board
 from trackwheel.gateway.budget import Budget
 from trackwheel.gateway.const import (
     MAX_ATTEMPTS_PER_TARGET,
@@ -23,6 +22,7 @@
     WithdrawAsk,
 )
 from trackwheel.gateway.snapshots import Collected, VersionChoice
+from trackwheel.gateway.target_selector import TargetSelector
 
 OTHER_VERSION: Final = "other_version"
 
@@ -59,9 +59,9 @@
 class Gather:
     """Decide, from events and the time, how one query goes on."""
 
-    def __init__(self, plan: Plan, board: Board, budget: Budget, now: float) -> None:
+    def __init__(self, plan: Plan, selector: TargetSelector, budget: Budget, now: float) -> None:
         self.plan = plan
-        self._board = board
+        self._selector = selector
         self._budget = budget
         self._started = now
         self._deadline = now + plan.policy.deadline_s
@@ -97,7 +97,7 @@
             return []
         instance = self._instances[ask.instance]
         instance.nonces.discard(event.nonce)
-        self._board.ended(ask.target)
+        self._selector.subrequest_ended(ask.target)
         if event.outcome is Outcome.OK and event.snapshot is not None:
             self._take_answer(ask, event, now)
         elif event.outcome is Outcome.WRONG_VERSION:
@@ -124,7 +124,7 @@
         """Forget the query of a caller that has gone."""
         self.ended = True
         for ask in self._ask_by_nonce.values():
-            self._board.ended(ask.target)
+            self._selector.subrequest_ended(ask.target)
         self._ask_by_nonce.clear()
 
     def next_wake(self) -> float:
@@ -138,7 +138,7 @@
     def _take_answer(self, ask: _Ask, event: ShardAnswer, now: float) -> None:
         assert event.snapshot is not None
         service = self.plan.service
-        self._board.learn_latency(service, ask.target, now - ask.asked_at, now)
+        self._selector.record_latency(service, ask.target, now - ask.asked_at, now)
         if ask.version is not None and event.snapshot.version != ask.version:
             self._instances[ask.instance].reason = "contract_broken"
             self._retry(ask.instance, now)
@@ -197,8 +197,8 @@
         """Ask an instance for the chosen version, at a target that may hold it."""
         targets = self.plan.targets_by_instance[number]
         lacks = self._lacking_targets(number)
-        able = self._board.choose(targets, lacks, now) is not None
-        self._instances[number].tried = lacks if able else set()
+        available = self._selector.choose(targets, lacks, now) is not None
+        self._instances[number].tried = lacks if available else set()
         self._retry(number, now, owed=True)
 
     def _lacking_targets(self, number: int) -> set[str]:
@@ -210,7 +210,7 @@
     def _await_version(self, number: int, now: float) -> None:
         """Ask again soon: the version is on its way to the instance, or another target has it."""
         targets = self.plan.targets_by_instance[number]
-        if self._board.choose(targets, self._lacking_targets(number), now) is not None:
+        if self._selector.choose(targets, self._lacking_targets(number), now) is not None:
             self._ask_version(number, now)
             return
         self._ask_later(number, now)
@@ -225,17 +225,17 @@
         lagging = tuple(sorted(self._lacking_targets(number)))
         if self._instances[number].asks >= self._most_asks(number) + MAX_VERSION_RETRIES:
             return False
-        return self._board.choose(lagging, set(), now) is not None
+        return self._selector.choose(lagging, set(), now) is not None
 
     def _most_asks(self, number: int) -> int:
         return MAX_ATTEMPTS_PER_TARGET * len(self.plan.targets_by_instance[number]) + 1
 
     def _take_failure(self, ask: _Ask, event: ShardAnswer, now: float) -> None:
         if event.outcome is Outcome.EJECTED:
-            self._board.learn_ejected(ask.target, now)
+            self._selector.mark_ejected(ask.target, now)
             self._instances[ask.instance].ejected.add(ask.target)
         elif event.outcome is Outcome.LEAVING:
-            self._board.learn_leaving(ask.target, now)
+            self._selector.mark_leaving(ask.target, now)
         elif event.outcome in (Outcome.SHED, Outcome.LATE):
             self._shed = True
         elif event.outcome is Outcome.NO_OWNER:
@@ -261,7 +261,7 @@
 
     def _any_target(self, number: int, now: float) -> bool:
         targets = self.plan.targets_by_instance[number]
-        if self._board.choose(targets, self._instances[number].tried, now) is not None:
+        if self._selector.choose(targets, self._instances[number].tried, now) is not None:
             return True
         return self._last_resort(number, now) is not None
 
@@ -273,22 +273,22 @@
             for target in self.plan.targets_by_instance[number]
             if target not in instance.tried or target in instance.ejected
         )
-        return self._board.last_resort(targets, now)
+        return self._selector.choose_last_resort(targets, now)
 
     def _ask_next(self, number: int, now: float, reason: str) -> None:
         targets = self.plan.targets_by_instance[number]
         instance = self._instances[number]
-        target = self._board.choose(targets, instance.tried, now)
+        target = self._selector.choose(targets, instance.tried, now)
         if target is not None:
             self._ask(number, target, now, False, reason)
             return
-        resort = self._last_resort(number, now)
-        if resort is None:
+        fallback = self._last_resort(number, now)
+        if fallback is None:
             instance.reason = Outcome.LEAVING
             self._exhausted.add(number)
             return
-        instance.ejected.discard(resort)
-        self._ask(number, resort, now, True, "last_resort")
+        instance.ejected.discard(fallback)
+        self._ask(number, fallback, now, True, "last_resort")
 
     def _ask(self, number: int, target: str, now: float, last_resort: bool, reason: str) -> None:
         instance = self._instances[number]
@@ -296,10 +296,10 @@
         instance.tried.add(target)
         nonce = self._next_nonce
         self._next_nonce += 1
-        hedge_at = now + self._board.hedge_delay(self.plan.service, now)
+        hedge_at = now + self._selector.hedge_delay(self.plan.service, now)
         ask = _Ask(number, target, self._versions.version, now, hedge_at)
         self._ask_by_nonce[nonce] = ask
-        self._board.asked(target)
+        self._selector.subrequest_sent(target)
         instance.nonces.add(nonce)
         self._exhausted.discard(number)
         command = AskTarget(nonce, number, target, ask.version, last_resort, reason)
@@ -310,7 +310,7 @@
         self._ask_by_nonce[nonce] = ask._replace(hedge_at=float("inf"))
         instance = self._instances[ask.instance]
         targets = self.plan.targets_by_instance[ask.instance]
-        target = self._board.choose(targets, instance.tried, now)
+        target = self._selector.choose(targets, instance.tried, now)
         if len(instance.nonces) > 1 or target is None:
             return
         if self._budget.take():
@@ -325,11 +325,11 @@
                 continue
             del self._ask_by_nonce[nonce]
             nonces.discard(nonce)
-            self._board.learn_at_least(ask.target, now - ask.asked_at, now)
+            self._selector.record_min_latency(ask.target, now - ask.asked_at, now)
             self._withdraw(nonce, ask.target)
 
     def _withdraw(self, nonce: int, target: str) -> None:
-        self._board.ended(target)
+        self._selector.subrequest_ended(target)
         self._commands.append(WithdrawAsk(nonce, target))
 
     def _finish_or_go_on(self, now: float) -> list[GatherCommand]:
@@ -379,7 +379,7 @@
     def _end(self, snapshot: Snapshot | None, now: float) -> None:
         self.ended = True
         for nonce, ask in self._ask_by_nonce.items():
-            self._board.learn_at_least(ask.target, now - ask.asked_at, now)
+            self._selector.record_min_latency(ask.target, now - ask.asked_at, now)
             self._withdraw(nonce, ask.target)
         reasons = {
             number: self._reason(instance, now) for number, instance in enumerate(self._instances)
@@ -387,7 +387,7 @@
         self._ask_by_nonce.clear()
         answer = self._collected.answer(snapshot, reasons, len(self._instances))
         if snapshot is not None:
-            self._board.learn_version(self.plan.service, snapshot.version)
+            self._selector.record_version(self.plan.service, snapshot.version)
         if answer.coverage >= self.plan.policy.least_coverage and snapshot is not None:
             self._commands.append(Answered(answer))
             return
--- a/trackwheel/gateway/once.py
+++ b/trackwheel/gateway/once.py
@@ -21,7 +21,6 @@
 )
 from trackwheel.files.models import ServiceSpec
 from trackwheel.gateway.admission import Admission
-from trackwheel.gateway.board import Board
 from trackwheel.gateway.errors import CallerError, Code, refuse
 from trackwheel.gateway.execution import (
     AnswerPermit,
@@ -34,6 +33,7 @@
 )
 from trackwheel.gateway.ledger import Ledger, Verdict
 from trackwheel.gateway.queries import Owners
+from trackwheel.gateway.target_selector import TargetSelector
 from trackwheel.inbox import Inbox
 from trackwheel.peers.hub import Hub
 from trackwheel.peers.models import PeerIdentity
@@ -90,10 +90,10 @@
 class OnceRunner:
     """Issue ids, run requests once, and remember what came of them."""
 
-    def __init__(self, hub: Hub, owners: Owners, board: Board, traces: Traces) -> None:
+    def __init__(self, hub: Hub, owners: Owners, selector: TargetSelector, traces: Traces) -> None:
         self._hub = hub
         self._owners = owners
-        self._board = board
+        self._selector = selector
         self._traces = traces
         self._ledger = Ledger(hub.identity.boot, secrets.token_bytes(32))
         self._admission = Admission(seed=2)
@@ -141,7 +141,7 @@
         deadline = now + request.deadline_s
         plan = ExecutionPlan(query_id, request.request_id, number, targets, deadline)
         trace = self._traces.open(request.request_id, request.service.name, request.group)
-        attempt = _Attempt(request, Execution(plan, self._ledger, self._board), trace)
+        attempt = _Attempt(request, Execution(plan, self._ledger, self._selector), trace)
         self._forget_late(now)
         self._attempt_by_query_id[query_id] = attempt
         self._attempt_by_request_id[request.request_id] = attempt
--- a/trackwheel/gateway/queries.py
+++ b/trackwheel/gateway/queries.py
@@ -13,7 +13,6 @@
 from trackwheel.files.models import Policy, ServiceSpec
 from trackwheel.fleet.models import Member
 from trackwheel.gateway.admission import Admission, QueryEnd
-from trackwheel.gateway.board import Board
 from trackwheel.gateway.budget import Budget
 from trackwheel.gateway.errors import CallerError, Code, refuse
 from trackwheel.gateway.gather import Gather
@@ -29,6 +28,7 @@
     WithdrawAsk,
 )
 from trackwheel.gateway.owner_watch import OwnerSilent, OwnerWatch, PingOwner
+from trackwheel.gateway.target_selector import TargetSelector
 from trackwheel.inbox import Inbox
 from trackwheel.peers.hub import Hub
 from trackwheel.peers.models import PeerIdentity
@@ -94,7 +94,7 @@
         self,
         hub: Hub,
         owners: Owners,
-        board: Board,
+        selector: TargetSelector,
         traces: Traces,
         quarantine: Quarantine,
         log: EventLog,
@@ -103,7 +103,7 @@
         self._quarantine = quarantine
         self._log = log
         self._owners = owners
-        self._board = board
+        self._selector = selector
         self._traces = traces
         self._admission = Admission(seed=1)
         self._budget_by_service: dict[str, Budget] = {}
@@ -188,9 +188,9 @@
         targets = tuple(
             tuple(target.address for target in instance) for instance in service.targets_by_instance
         )
-        hint = self._board.version(service.name)
+        hint = self._selector.last_version(service.name)
         plan = Plan(query_id, service.name, group, policy, targets, hint)
-        gather = Gather(plan, self._board, self._budget(service), now)
+        gather = Gather(plan, self._selector, self._budget(service), now)
         running = self._running_by_id[query_id] = _Running(gather, service, trace)
         return running
 
@@ -277,7 +277,7 @@
             self.foreign_answers += 1
             return
         event = self._read(answer)
-        self._board.learn_queue(
+        self._selector.record_queue_delay(
             asked.target, answer.delay_ms / 1000, answer.service_ms / 1000, steady_now()
         )
         running.longest_delay_s = max(running.longest_delay_s, answer.delay_ms / 1000)
@@ -344,7 +344,7 @@
             overloaded=end.overloaded,
             lacking=_count_reasons([lack.reason for lack in end.answer.lacking]),
             requests=len(running.asked_by_nonce),
-            budget_left=round(budget.left, 1),
+            budget_left=round(budget.balance, 1),
         )
 
     def _conclude(self, running: _Running, end: Answered | GivenUp) -> QueryResult:
