--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -36,7 +36,7 @@
 from trackwheel.fleet.ownership import OwnerMap
 from trackwheel.fleet.service import FleetService
 from trackwheel.garbage import tune_garbage_collection
-from trackwheel.gateway.budget import Budget
+from trackwheel.gateway.budget import RetryBudget
 from trackwheel.gateway.gather import Gather
 from trackwheel.gateway.models import AskTarget, Plan, ShardAnswer, Snapshot
 from trackwheel.gateway.target_selector import TargetSelector
@@ -101,7 +101,7 @@
     """Return one whole query of the gather, with the answers' decoding."""
     targets = tuple((f"t{n}a", f"t{n}b") for n in range(fan_out))
     plan = Plan("q", "s", "g", Policy(1.0, 1.0, 1.0), targets, 1)
-    board, budget = TargetSelector(1), Budget(0.05)
+    board, budget = TargetSelector(1), RetryBudget(0.05)
 
     def work() -> None:
         gather = Gather(plan, board, budget, 0.0)
--- a/tests/gateway/test_budget.py
+++ b/tests/gateway/test_budget.py
@@ -1,44 +1,44 @@
-"""The budget of extra load: a part of the first tries, with a debt that is soon paid."""
+"""The retry budget: a ratio of the first attempts, with a bounded debt."""
 
 import pytest
 
-from trackwheel.gateway.budget import Budget
+from trackwheel.gateway.budget import RetryBudget
 from trackwheel.gateway.const import BUDGET_INITIAL, BUDGET_MAX, BUDGET_MAX_DEBT
 
 
-def taken(budget: Budget, count: int) -> int:
-    return sum(budget.take() for _ in range(count))
+def count_spent(budget: RetryBudget, count: int) -> int:
+    return sum(budget.try_spend() for _ in range(count))
 
 
-@pytest.mark.parametrize("part", [0.01, 0.05, 0.2], ids=str)
-def test_extra_load_is_a_part_of_the_first_tries(part: float) -> None:
-    budget = Budget(part)
+@pytest.mark.parametrize("ratio", [0.01, 0.05, 0.2], ids=str)
+def test_extra_load_is_limited_to_a_ratio_of_first_attempts(ratio: float) -> None:
+    budget = RetryBudget(ratio)
     allowed = 0
     for _ in range(1000):
-        budget.first(30)
-        allowed += taken(budget, 30)
-    assert allowed <= part * 30_000 + BUDGET_INITIAL
-    assert allowed >= 0.99 * part * 30_000
+        budget.record_first_attempts(30)
+        allowed += count_spent(budget, 30)
+    assert allowed <= ratio * 30_000 + BUDGET_INITIAL
+    assert allowed >= 0.99 * ratio * 30_000
 
 
-def test_calm_time_saves_no_more_than_the_cap() -> None:
-    budget = Budget(0.05)
-    budget.first(1_000_000)
-    assert taken(budget, 10_000) == BUDGET_MAX
+def test_saved_tokens_are_capped() -> None:
+    budget = RetryBudget(0.05)
+    budget.record_first_attempts(1_000_000)
+    assert count_spent(budget, 10_000) == BUDGET_MAX
 
 
-def test_no_part_allows_nothing_but_what_is_owed() -> None:
-    budget = Budget(0.0)
-    budget.first(1000)
-    assert not budget.take()
-    assert budget.take(owed=True)
+def test_zero_ratio_allows_only_mandatory_sub_requests() -> None:
+    budget = RetryBudget(0.0)
+    budget.record_first_attempts(1000)
+    assert not budget.try_spend()
+    assert budget.try_spend(mandatory=True)
 
 
 def test_hedges_return_soon_after_an_index_has_flipped() -> None:
-    """Two thousand asks at the new version, then thirty queries of thirty shards."""
-    budget = Budget(0.05)
-    assert all(budget.take(owed=True) for _ in range(2000))
-    assert not budget.take()
+    """Hedges are allowed again thirty queries of thirty shards after 2,000 mandatory re-asks."""
+    budget = RetryBudget(0.05)
+    assert all(budget.try_spend(mandatory=True) for _ in range(2000))
+    assert not budget.try_spend()
     for _ in range(30):
-        budget.first(30)
-    assert taken(budget, 100) >= 0.05 * 900 - BUDGET_MAX_DEBT - 1
+        budget.record_first_attempts(30)
+    assert count_spent(budget, 100) >= 0.05 * 900 - BUDGET_MAX_DEBT - 1
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -10,7 +10,7 @@
 from tests.golden import Transcript
 from trackwheel.dispatch.models import Outcome
 from trackwheel.files.models import Policy
-from trackwheel.gateway.budget import Budget
+from trackwheel.gateway.budget import RetryBudget
 from trackwheel.gateway.const import MAX_VERSION_RETRIES
 from trackwheel.gateway.gather import Gather
 from trackwheel.gateway.models import (
@@ -44,7 +44,7 @@
         selector: TargetSelector | None = None,
     ) -> None:
         self.selector = selector or TargetSelector(seed=1)
-        self.budget = Budget(budget)
+        self.budget = RetryBudget(budget)
         targets = tuple(
             tuple(f"t{number}{'abc'[replica]}" for replica in range(replicas))
             for number in range(instances)
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -169,7 +169,7 @@
         TARGETS + "test_replica_covers_for_a_faulty_target",
         Mutant(
             "trackwheel/gateway/gather.py",
-            "if possible and (free or self._budget.take(owed)):",
+            "if possible and (free or self._budget.try_spend(mandatory)):",
             "if False:",
         ),
     ),
--- a/trackwheel/gateway/budget.py
+++ b/trackwheel/gateway/budget.py
@@ -1,36 +1,36 @@
-"""The one budget from which all extra load on targets is paid."""
+"""The budget that limits all extra load on targets: hedges, retries and version re-asks."""
 
 from trackwheel.gateway.const import BUDGET_INITIAL, BUDGET_MAX, BUDGET_MAX_DEBT
 
 
-class Budget:
-    """Allow extra sub-requests as a part of the first tries."""
+class RetryBudget:
+    """Token bucket that allows extra sub-requests in proportion to first attempts."""
 
-    def __init__(self, part: float) -> None:
-        self.part = part
-        self._tokens = BUDGET_INITIAL if part > 0 else 0.0
-        self.first_tries = 0
+    def __init__(self, ratio: float) -> None:
+        self.ratio = ratio
+        self._tokens = BUDGET_INITIAL if ratio > 0 else 0.0
+        self.first_attempts = 0
         self.extras = 0
         self.denied = 0
 
     @property
     def balance(self) -> float:
-        """Return how many extra sub-requests may be sent now; negative while in debt."""
+        """Return the number of available tokens; negative while in debt."""
         return self._tokens
 
-    def first(self, count: int) -> None:
-        """Count first tries."""
-        self.first_tries += count
-        self._tokens = min(BUDGET_MAX, self._tokens + count * self.part)
+    def record_first_attempts(self, count: int) -> None:
+        """Count first attempts and add their tokens."""
+        self.first_attempts += count
+        self._tokens = min(BUDGET_MAX, self._tokens + count * self.ratio)
 
-    def take(self, owed: bool = False) -> bool:
-        """Pay for one extra sub-request; return False when the budget is used up.
+    def try_spend(self, mandatory: bool = False) -> bool:
+        """Spend a token on one extra sub-request; return False if none is left.
 
-        One that is owed to an answer's truth is allowed all the same and paid for later, as far
-        as the debt goes: thousands are owed when an index flips, and hedges and retries must not
-        stay away for a minute after it.
+        A mandatory one, which the consistency of an answer requires, is always allowed and runs
+        into debt. The debt is bounded: a version switch causes thousands of mandatory
+        sub-requests, which must not block hedges and retries for a minute afterwards.
         """
-        if self._tokens < 1.0 and not owed:
+        if self._tokens < 1.0 and not mandatory:
             self.denied += 1
             return False
         self._tokens = max(-BUDGET_MAX_DEBT, self._tokens - 1.0)
--- a/trackwheel/gateway/gather.py
+++ b/trackwheel/gateway/gather.py
@@ -3,7 +3,7 @@
 from typing import Final, NamedTuple
 
 from trackwheel.dispatch.models import Outcome
-from trackwheel.gateway.budget import Budget
+from trackwheel.gateway.budget import RetryBudget
 from trackwheel.gateway.const import (
     MAX_ATTEMPTS_PER_TARGET,
     MAX_VERSION_RETRIES,
@@ -59,7 +59,9 @@
 class Gather:
     """Decide, from events and the time, how one query goes on."""
 
-    def __init__(self, plan: Plan, selector: TargetSelector, budget: Budget, now: float) -> None:
+    def __init__(
+        self, plan: Plan, selector: TargetSelector, budget: RetryBudget, now: float
+    ) -> None:
         self.plan = plan
         self._selector = selector
         self._budget = budget
@@ -85,7 +87,7 @@
 
     def start(self, now: float) -> list[GatherCommand]:
         """Ask every instance."""
-        self._budget.first(len(self._instances))
+        self._budget.record_first_attempts(len(self._instances))
         for number in range(len(self._instances)):
             self._ask_next(number, now, "first")
         return self._finish_or_go_on(now)
@@ -199,7 +201,7 @@
         lacks = self._lacking_targets(number)
         available = self._selector.choose(targets, lacks, now) is not None
         self._instances[number].tried = lacks if available else set()
-        self._retry(number, now, owed=True)
+        self._retry(number, now, mandatory=True)
 
     def _lacking_targets(self, number: int) -> set[str]:
         """Return the targets of an instance that do not hold the chosen version yet."""
@@ -245,14 +247,14 @@
         if not self._instances[ask.instance].nonces:
             self._retry(ask.instance, now, free=event.outcome in _FREE_RETRY)
 
-    def _retry(self, number: int, now: float, free: bool = False, owed: bool = False) -> None:
+    def _retry(self, number: int, now: float, free: bool = False, mandatory: bool = False) -> None:
         """Ask an instance's next target, if the budget allows."""
         instance = self._instances[number]
         most = self._most_asks(number)
         if instance.reason == OTHER_VERSION:
             most += MAX_VERSION_RETRIES
         possible = instance.asks < most and self._any_target(number, now)
-        if possible and (free or self._budget.take(owed)):
+        if possible and (free or self._budget.try_spend(mandatory)):
             self._ask_next(number, now, "retry")
         elif self._may_wait(number, now):
             self._ask_later(number, now)
@@ -313,7 +315,7 @@
         target = self._selector.choose(targets, instance.tried, now)
         if len(instance.nonces) > 1 or target is None:
             return
-        if self._budget.take():
+        if self._budget.try_spend():
             self._ask(ask.instance, target, now, False, "hedge")
 
     def _withdraw_others(self, number: int, version: int, now: float) -> None:
--- a/trackwheel/gateway/queries.py
+++ b/trackwheel/gateway/queries.py
@@ -12,8 +12,8 @@
 from trackwheel.dispatch.models import Ask, Outcome, Ping, Pong, Scatter, SubAnswer, Withdraw
 from trackwheel.files.models import Policy, ServiceSpec
 from trackwheel.fleet.models import Member
-from trackwheel.gateway.admission import Admission, QueryEnd
-from trackwheel.gateway.budget import Budget
+from trackwheel.gateway.admission import Admission, QueryCompletion
+from trackwheel.gateway.budget import RetryBudget
 from trackwheel.gateway.errors import CallerError, Code, refuse
 from trackwheel.gateway.gather import Gather
 from trackwheel.gateway.models import (
@@ -83,7 +83,7 @@
         self.trace = trace
         self.inbox: Inbox[ShardAnswer] = Inbox()
         self.asked_by_nonce: dict[int, _Asked] = {}
-        self.longest_delay_s = 0.0
+        self.max_queue_delay_s = 0.0
         self.shed = False
 
 
@@ -106,7 +106,7 @@
         self._selector = selector
         self._traces = traces
         self._admission = Admission(seed=1)
-        self._budget_by_service: dict[str, Budget] = {}
+        self._budget_by_service: dict[str, RetryBudget] = {}
         self._running_by_id: dict[str, _Running] = {}
         self._numbers = itertools.count(1)
         self._watch = OwnerWatch()
@@ -139,7 +139,7 @@
         """Return how many queries are under way."""
         return len(self._running_by_id)
 
-    def budgets(self) -> dict[str, Budget]:
+    def budgets(self) -> dict[str, RetryBudget]:
         """Return the budgets of extra load by service."""
         return self._budget_by_service
 
@@ -159,9 +159,9 @@
         query_id = f"{self._hub.identity.boot}-q{next(self._numbers)}"
         trace = self._traces.open(query_id, service.name, group)
         window = self._admission.window(group, service.name)
-        if not window.enter():
+        if not window.try_acquire():
             trace.end("refused: window full")
-            retry_s = self._admission.retry_after(window.wait_s())
+            retry_s = self._admission.retry_after(window.expected_wait_s())
             detail = f"group `{group}` has {window.running} queries under way here"
             raise refuse(Code.OVERLOADED, "admit", detail, "Come back later", retry_s)
         running = self._begin(query_id, group, service, policy, trace, now)
@@ -172,8 +172,8 @@
             if not running.gather.ended:
                 self._withdraw_all(running)
             deadline_s = policy.deadline_s
-            how = QueryEnd(now, running.longest_delay_s, running.shed, deadline_s)
-            window.leave(how, steady_now())
+            completion = QueryCompletion(now, running.max_queue_delay_s, running.shed, deadline_s)
+            window.release(completion, steady_now())
         return self._conclude(running, end)
 
     def _begin(
@@ -194,11 +194,11 @@
         running = self._running_by_id[query_id] = _Running(gather, service, trace)
         return running
 
-    def _budget(self, service: ServiceSpec) -> Budget:
+    def _budget(self, service: ServiceSpec) -> RetryBudget:
         budget = self._budget_by_service.get(service.name)
         if budget is None:
-            budget = self._budget_by_service[service.name] = Budget(service.extra_load)
-        budget.part = service.extra_load
+            budget = self._budget_by_service[service.name] = RetryBudget(service.extra_load)
+        budget.ratio = service.extra_load
         return budget
 
     async def _follow(self, running: _Running, query: str) -> Answered | GivenUp:
@@ -280,7 +280,7 @@
         self._selector.record_queue_delay(
             asked.target, answer.delay_ms / 1000, answer.service_ms / 1000, steady_now()
         )
-        running.longest_delay_s = max(running.longest_delay_s, answer.delay_ms / 1000)
+        running.max_queue_delay_s = max(running.max_queue_delay_s, answer.delay_ms / 1000)
         running.shed = running.shed or event.outcome in (Outcome.SHED, Outcome.LATE)
         detail = f"{event.outcome} {answer.service_ms:.1f} ms"
         running.trace.note("end", asked.instance, asked.target, asked.owner, detail)
--- a/trackwheel/telemetry/samples.py
+++ b/trackwheel/telemetry/samples.py
@@ -62,7 +62,7 @@
     ]
     for service, budget in queries.budgets().items():
         labels = {"service": service}
-        first, extra, denied = budget.first_tries, budget.extras, budget.denied
+        first, extra, denied = budget.first_attempts, budget.extras, budget.denied
         samples += [
             Sample("trackwheel_sub_requests_first", "First tries.", labels, first),
             Sample("trackwheel_sub_requests_extra", "Hedges and retries.", labels, extra),
