--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -38,7 +38,7 @@
 from trackwheel.garbage import tune_garbage_collection
 from trackwheel.gateway.budget import RetryBudget
 from trackwheel.gateway.gather import Gather
-from trackwheel.gateway.models import AskTarget, Plan, ShardAnswer, Snapshot
+from trackwheel.gateway.models import QueryPlan, SendSubrequest, Snapshot, SubrequestResult
 from trackwheel.gateway.target_selector import TargetSelector
 from trackwheel.peers.codec import Codec
 from trackwheel.peers.hub import Hub
@@ -100,17 +100,19 @@
 def gateway_query(fan_out: int) -> Callable[[], None]:
     """Return one whole query of the gather, with the answers' decoding."""
     targets = tuple((f"t{n}a", f"t{n}b") for n in range(fan_out))
-    plan = Plan("q", "s", "g", Policy(1.0, 1.0, 1.0), targets, 1)
+    plan = QueryPlan("q", "s", "g", Policy(1.0, 1.0, 1.0), targets, 1)
     board, budget = TargetSelector(1), RetryBudget(0.05)
 
     def work() -> None:
         gather = Gather(plan, board, budget, 0.0)
         for command in gather.start(0.0):
-            assert isinstance(command, AskTarget)
+            assert isinstance(command, SendSubrequest)
             msgspec.json.decode(BODY, type=TargetAnswer)
             items: dict[int, list[msgspec.Raw]] = {command.instance: []}
-            event = ShardAnswer(command.nonce, Outcome.OK, Snapshot(1, fan_out), items, (), 0.0)
-            gather.answered(event, 0.005)
+            event = SubrequestResult(
+                command.nonce, Outcome.OK, Snapshot(1, fan_out), items, (), 0.0
+            )
+            gather.handle_result(event, 0.005)
 
     return work
 
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -15,14 +15,14 @@
 from trackwheel.gateway.gather import Gather
 from trackwheel.gateway.models import (
     Answer,
-    Answered,
-    AskTarget,
+    CancelSubrequest,
     GatherCommand,
-    GivenUp,
-    Plan,
-    ShardAnswer,
+    QueryAnswered,
+    QueryFailed,
+    QueryPlan,
+    SendSubrequest,
     Snapshot,
-    WithdrawAsk,
+    SubrequestResult,
 )
 from trackwheel.gateway.target_selector import TargetSelector
 
@@ -49,12 +49,12 @@
             tuple(f"t{number}{'abc'[replica]}" for replica in range(replicas))
             for number in range(instances)
         )
-        plan = Plan("q1", "ledger", "clerks", policy, targets, hint)
+        plan = QueryPlan("q1", "ledger", "clerks", policy, targets, hint)
         self.instances = instances
         self.gather = Gather(plan, self.selector, self.budget, 0.0)
-        self.open: dict[int, AskTarget] = {}
-        self.all_asks: list[AskTarget] = []
-        self.end: Answered | GivenUp | None = None
+        self.open: dict[int, SendSubrequest] = {}
+        self.all_subrequests: list[SendSubrequest] = []
+        self.end: QueryAnswered | QueryFailed | None = None
         self.transcript = Transcript()
         self.now = 0.0
         self.take(self.gather.start(0.0))
@@ -64,47 +64,51 @@
         self.transcript.commands(commands)
         for command in commands:
             match command:
-                case AskTarget():
+                case SendSubrequest():
                     self.open[command.nonce] = command
-                    self.all_asks.append(command)
-                case WithdrawAsk(nonce, _):
+                    self.all_subrequests.append(command)
+                case CancelSubrequest(nonce, _):
                     self.open.pop(nonce, None)
-                case Answered() | GivenUp():
+                case QueryAnswered() | QueryFailed():
                     assert self.end is None, "a query ends once"
                     self.end = command
 
-    def ask_of(self, instance: int) -> AskTarget:
-        return next(ask for ask in self.open.values() if ask.instance == instance)
+    def subrequest_to(self, instance: int) -> SendSubrequest:
+        return next(
+            subrequest for subrequest in self.open.values() if subrequest.instance == instance
+        )
 
     def answer(
         self,
-        ask: AskTarget,
+        subrequest: SendSubrequest,
         version: int = 1,
         shards: tuple[int, ...] | None = None,
         map_size: int | None = None,
         at: float | None = None,
     ) -> None:
-        shards = (ask.instance,) if shards is None else shards
+        shards = (subrequest.instance,) if shards is None else shards
         items = {shard: [raw(f"v{version}s{shard}")] for shard in shards}
         snapshot = Snapshot(version, map_size or self.instances)
-        self.send(ask, ShardAnswer(ask.nonce, Outcome.OK, snapshot, items, (), 0.0), at)
+        self.send(
+            subrequest, SubrequestResult(subrequest.nonce, Outcome.OK, snapshot, items, (), 0.0), at
+        )
 
     def fail(
         self,
-        ask: AskTarget,
+        subrequest: SendSubrequest,
         outcome: Outcome,
         holds: tuple[int, ...] = (),
         retry_after_s: float = 0.0,
         at: float | None = None,
     ) -> None:
-        event = ShardAnswer(ask.nonce, outcome, None, {}, holds, retry_after_s)
-        self.send(ask, event, at)
+        event = SubrequestResult(subrequest.nonce, outcome, None, {}, holds, retry_after_s)
+        self.send(subrequest, event, at)
 
-    def send(self, ask: AskTarget, event: ShardAnswer, at: float | None) -> None:
+    def send(self, subrequest: SendSubrequest, event: SubrequestResult, at: float | None) -> None:
         self.now = self.now if at is None else at
-        self.open.pop(ask.nonce, None)
+        self.open.pop(subrequest.nonce, None)
         self.transcript.event(self.now, event)
-        self.take(self.gather.answered(event, self.now))
+        self.take(self.gather.handle_result(event, self.now))
 
     def tick(self, at: float) -> None:
         self.now = at
@@ -129,9 +133,9 @@
 def test_whole_answer_ends_at_once() -> None:
     session = Session()
     for instance in range(3):
-        session.answer(session.ask_of(instance))
-    assert isinstance(session.end, Answered)
-    assert session.result.whole
+        session.answer(session.subrequest_to(instance))
+    assert isinstance(session.end, QueryAnswered)
+    assert session.result.complete
     assert session.budget.extras == 0
 
 
@@ -139,76 +143,76 @@
 def test_answers_in_any_order(order: tuple[int, ...]) -> None:
     session = Session()
     for instance in order:
-        session.answer(session.ask_of(instance))
+        session.answer(session.subrequest_to(instance))
     assert list(sorted(session.result.items_by_shard)) == [0, 1, 2]
 
 
 def test_doubled_and_foreign_answers_are_passed_over() -> None:
     session = Session()
-    first = session.ask_of(0)
+    first = session.subrequest_to(0)
     session.answer(first)
     session.answer(first, version=9)
     session.answer(first._replace(nonce=99), version=9)
     session.answer(first, shards=(0, 1, 2))
     session.answer(first._replace(nonce=99), shards=(0, 1, 2))
     assert session.end is None, "nothing of them was taken"
-    session.answer(session.ask_of(1))
-    session.answer(session.ask_of(2))
+    session.answer(session.subrequest_to(1))
+    session.answer(session.subrequest_to(2))
     assert session.result.snapshot == Snapshot(1, 3)
 
 
 def test_flip_to_a_new_version_is_never_mixed() -> None:
     session = Session(hint=1)
-    session.answer(session.ask_of(0))
-    session.fail(session.ask_of(1), Outcome.WRONG_VERSION, holds=(2,))
-    session.fail(session.ask_of(1), Outcome.WRONG_VERSION, holds=(2,))
+    session.answer(session.subrequest_to(0))
+    session.fail(session.subrequest_to(1), Outcome.WRONG_VERSION, holds=(2,))
+    session.fail(session.subrequest_to(1), Outcome.WRONG_VERSION, holds=(2,))
     while session.end is None and session.open:
-        ask = next(iter(session.open.values()))
-        assert ask.version == 2, "everyone is asked at the new version"
-        session.answer(ask, version=2)
+        subrequest = next(iter(session.open.values()))
+        assert subrequest.version == 2, "everyone is asked at the new version"
+        session.answer(subrequest, version=2)
     assert session.result.snapshot == Snapshot(2, 3)
     assert versions_in(session.result) == {"v2"}
 
 
 def test_only_what_differs_is_asked_again() -> None:
     session = Session(hint=None)
-    session.answer(session.ask_of(0), version=2)
-    session.answer(session.ask_of(1), version=1)
-    session.answer(session.ask_of(2), version=2)
-    again = [ask for ask in session.all_asks if ask.reason == "retry"]
-    assert [ask.instance for ask in again] == [1]
+    session.answer(session.subrequest_to(0), version=2)
+    session.answer(session.subrequest_to(1), version=1)
+    session.answer(session.subrequest_to(2), version=2)
+    again = [subrequest for subrequest in session.all_subrequests if subrequest.reason == "retry"]
+    assert [subrequest.instance for subrequest in again] == [1]
     assert again[0].version == 2
     session.answer(again[0], version=2)
-    assert session.result.whole
+    assert session.result.complete
 
 
 def test_version_that_arrives_late_is_awaited() -> None:
     session = Session(replicas=1, policy=PATIENT, hint=2)
-    session.answer(session.ask_of(0), version=2)
-    session.answer(session.ask_of(1), version=2)
-    session.fail(session.ask_of(2), Outcome.WRONG_VERSION, holds=(1,))
+    session.answer(session.subrequest_to(0), version=2)
+    session.answer(session.subrequest_to(1), version=2)
+    session.fail(session.subrequest_to(2), Outcome.WRONG_VERSION, holds=(1,))
     assert session.end is None
     session.tick(0.02)
-    session.answer(session.ask_of(2), version=2)
-    assert session.result.whole
+    session.answer(session.subrequest_to(2), version=2)
+    assert session.result.complete
 
 
 def test_repartition_counts_shards_of_the_pinned_map() -> None:
     session = Session(hint=None)
-    session.answer(session.ask_of(0), version=2, shards=(0, 3), map_size=6)
-    session.answer(session.ask_of(1), version=2, shards=(1, 4), map_size=6)
-    session.answer(session.ask_of(2), version=2, shards=(2, 5), map_size=6)
-    assert session.result.whole
+    session.answer(session.subrequest_to(0), version=2, shards=(0, 3), map_size=6)
+    session.answer(session.subrequest_to(1), version=2, shards=(1, 4), map_size=6)
+    session.answer(session.subrequest_to(2), version=2, shards=(2, 5), map_size=6)
+    assert session.result.complete
     assert len(session.result.items_by_shard) == 6
 
 
 def test_moved_shard_is_counted_once_and_a_lost_one_is_listed() -> None:
     session = Session(policy=QUICK)
-    session.answer(session.ask_of(0), shards=(0, 1), map_size=4)
-    session.answer(session.ask_of(1), shards=(1,), map_size=4)
-    session.answer(session.ask_of(2), shards=(2,), map_size=4)
+    session.answer(session.subrequest_to(0), shards=(0, 1), map_size=4)
+    session.answer(session.subrequest_to(1), shards=(1,), map_size=4)
+    session.answer(session.subrequest_to(2), shards=(2,), map_size=4)
     assert sorted(session.result.items_by_shard) == [0, 1, 2]
-    assert [lack.shard for lack in session.result.lacking] == [3]
+    assert [missing.shard for missing in session.result.missing_shards] == [3]
     assert len(session.result.items_by_shard[1]) == 1
 
 
@@ -227,36 +231,36 @@
 ) -> None:
     session = Session(instances=10, replicas=1, policy=policy)
     for instance in range(answered):
-        session.answer(session.ask_of(instance))
+        session.answer(session.subrequest_to(instance))
     while session.end is None:
         session.tick(session.gather.next_wake())
     assert session.now == pytest.approx(ends_at)
-    assert isinstance(session.end, GivenUp) is given_up
+    assert isinstance(session.end, QueryFailed) is given_up
     assert len(session.result.items_by_shard) == answered
-    assert {lack.reason for lack in session.result.lacking} == {"late"}
+    assert {missing.reason for missing in session.result.missing_shards} == {"late"}
 
 
 def test_patient_query_takes_the_late_shard() -> None:
     session = Session(instances=10, replicas=1, policy=PATIENT)
     for instance in range(8):
-        session.answer(session.ask_of(instance))
+        session.answer(session.subrequest_to(instance))
     session.tick(0.1)
     assert session.end is None
-    session.answer(session.ask_of(8), at=0.2)
-    assert isinstance(session.end, Answered)
-    assert [lack.shard for lack in session.result.lacking] == [9]
+    session.answer(session.subrequest_to(8), at=0.2)
+    assert isinstance(session.end, QueryAnswered)
+    assert [missing.shard for missing in session.result.missing_shards] == [9]
 
 
 def test_hedge_after_the_quantile_and_loser_is_withdrawn() -> None:
     session = Session()
-    session.answer(session.ask_of(0))
-    session.answer(session.ask_of(1))
-    slow = session.ask_of(2)
+    session.answer(session.subrequest_to(0))
+    session.answer(session.subrequest_to(1))
+    slow = session.subrequest_to(2)
     session.tick(0.031)
-    hedge = next(ask for ask in session.open.values() if ask.reason == "hedge")
+    hedge = next(subrequest for subrequest in session.open.values() if subrequest.reason == "hedge")
     assert hedge.target != slow.target
     session.answer(hedge)
-    assert session.result.whole
+    assert session.result.complete
     assert session.open == {}, "the slow one is withdrawn"
     assert session.budget.extras == 1
 
@@ -264,7 +268,7 @@
 def test_hedges_stop_at_the_budget() -> None:
     session = Session(instances=40, budget=1e-9)
     session.tick(0.031)
-    hedges = [ask for ask in session.all_asks if ask.reason == "hedge"]
+    hedges = [subrequest for subrequest in session.all_subrequests if subrequest.reason == "hedge"]
     assert len(hedges) == 10, "what the budget starts with, and no more"
     assert session.budget.denied > 0
 
@@ -274,18 +278,18 @@
 )
 def test_other_replica_is_asked_after_a_failure(outcome: Outcome) -> None:
     session = Session()
-    failed = session.ask_of(1)
+    failed = session.subrequest_to(1)
     session.fail(failed, outcome)
     for instance in range(3):
-        session.answer(session.ask_of(instance))
-    assert session.result.whole
+        session.answer(session.subrequest_to(instance))
+    assert session.result.complete
 
 
 def test_lost_replicas_are_given_up_at_once_when_all_is_wanted() -> None:
     session = Session()
-    session.fail(session.ask_of(1), Outcome.SHED, retry_after_s=0.2)
-    session.fail(session.ask_of(1), Outcome.SHED, retry_after_s=0.7, at=0.004)
-    assert isinstance(session.end, GivenUp)
+    session.fail(session.subrequest_to(1), Outcome.SHED, retry_after_s=0.2)
+    session.fail(session.subrequest_to(1), Outcome.SHED, retry_after_s=0.7, at=0.004)
+    assert isinstance(session.end, QueryFailed)
     assert session.end.overloaded
     assert session.end.retry_after_s == pytest.approx(0.7)
     assert session.now < 0.005, "at once, not near the deadline"
@@ -294,23 +298,23 @@
 
 def test_lost_replicas_are_listed_when_a_part_is_enough() -> None:
     session = Session(policy=QUICK)
-    session.fail(session.ask_of(1), Outcome.FAILED)
-    session.fail(session.ask_of(1), Outcome.FAILED)
-    session.answer(session.ask_of(0))
-    session.answer(session.ask_of(2))
-    assert isinstance(session.end, Answered)
-    assert session.result.lacking[0].shard == 1
-    assert session.result.lacking[0].reason == "failed"
+    session.fail(session.subrequest_to(1), Outcome.FAILED)
+    session.fail(session.subrequest_to(1), Outcome.FAILED)
+    session.answer(session.subrequest_to(0))
+    session.answer(session.subrequest_to(2))
+    assert isinstance(session.end, QueryAnswered)
+    assert session.result.missing_shards[0].shard == 1
+    assert session.result.missing_shards[0].reason == "failed"
 
 
 def test_leaving_target_is_not_asked() -> None:
     selector = TargetSelector(seed=1)
     selector.mark_leaving("t1a", 0.0)
     session = Session(selector=selector)
-    assert "t1a" not in [ask.target for ask in session.all_asks]
+    assert "t1a" not in [subrequest.target for subrequest in session.all_subrequests]
     selector.mark_leaving("t1b", 0.0)
     session = Session(selector=selector, policy=QUICK)
-    assert not any(ask.instance == 1 for ask in session.all_asks)
+    assert not any(subrequest.instance == 1 for subrequest in session.all_subrequests)
 
 
 def test_owner_of_a_leaving_target_is_asked_again_after_a_while() -> None:
@@ -323,14 +327,14 @@
 
 def test_last_replicas_are_asked_even_when_ejected() -> None:
     session = Session()
-    session.fail(session.ask_of(0), Outcome.EJECTED)
-    session.fail(session.ask_of(0), Outcome.EJECTED)
-    fallback = session.ask_of(0)
+    session.fail(session.subrequest_to(0), Outcome.EJECTED)
+    session.fail(session.subrequest_to(0), Outcome.EJECTED)
+    fallback = session.subrequest_to(0)
     assert fallback.last_resort
     session.answer(fallback)
-    session.answer(session.ask_of(1))
-    session.answer(session.ask_of(2))
-    assert session.result.whole
+    session.answer(session.subrequest_to(1))
+    session.answer(session.subrequest_to(2))
+    assert session.result.complete
 
 
 @pytest.mark.parametrize("told", [False, True], ids=["refused-itself", "refused-another-query"])
@@ -341,35 +345,35 @@
     if told:
         selector.mark_ejected("t0b", 0.0)
         session = Session(selector=selector)
-        assert session.ask_of(0).target == "t0a"
+        assert session.subrequest_to(0).target == "t0a"
     else:
         session = Session(selector=selector)
-        session.fail(session.ask_of(0), Outcome.EJECTED)
-    session.fail(session.ask_of(0), last)
-    assert session.ask_of(0).last_resort
+        session.fail(session.subrequest_to(0), Outcome.EJECTED)
+    session.fail(session.subrequest_to(0), last)
+    assert session.subrequest_to(0).last_resort
     for instance in range(3):
-        session.answer(session.ask_of(instance))
-    assert session.result.whole
+        session.answer(session.subrequest_to(instance))
+    assert session.result.complete
 
 
 def test_target_that_answers_another_version_than_asked_counts_as_failed() -> None:
     session = Session(hint=1)
-    session.answer(session.ask_of(0), version=7)
+    session.answer(session.subrequest_to(0), version=7)
     for instance in range(3):
-        session.answer(session.ask_of(instance), version=1)
+        session.answer(session.subrequest_to(instance), version=1)
     assert session.result.snapshot == Snapshot(1, 3)
 
 
 def test_golden_session_of_a_flip_with_a_straggler() -> None:
     session = Session(hint=1, policy=PATIENT)
-    session.answer(session.ask_of(0), at=0.004)
-    session.fail(session.ask_of(1), Outcome.WRONG_VERSION, holds=(2,), at=0.005)
-    session.fail(session.ask_of(1), Outcome.WRONG_VERSION, holds=(2,), at=0.006)
-    for ask in list(session.open.values()):
-        if ask.instance != 2 and ask.version == 2:
-            session.answer(ask, version=2, at=0.009)
+    session.answer(session.subrequest_to(0), at=0.004)
+    session.fail(session.subrequest_to(1), Outcome.WRONG_VERSION, holds=(2,), at=0.005)
+    session.fail(session.subrequest_to(1), Outcome.WRONG_VERSION, holds=(2,), at=0.006)
+    for subrequest in list(session.open.values()):
+        if subrequest.instance != 2 and subrequest.version == 2:
+            session.answer(subrequest, version=2, at=0.009)
     session.tick(0.05)
-    hedge = session.ask_of(2)
+    hedge = session.subrequest_to(2)
     session.answer(hedge, version=2, at=0.052)
     session.transcript.check("gather_flip_with_straggler")
 
@@ -413,12 +417,12 @@
         session.tick(session.now)
         if session.end is not None or not session.open:
             continue
-        ask = list(session.open.values())[pick % len(session.open)]
+        subrequest = list(session.open.values())[pick % len(session.open)]
         if outcome is Outcome.OK:
-            answered = version if ask.version is None else ask.version
-            session.answer(ask, version=answered, map_size=4 + map_growth * (answered - 1))
+            answered = version if subrequest.version is None else subrequest.version
+            session.answer(subrequest, version=answered, map_size=4 + map_growth * (answered - 1))
         else:
-            session.fail(ask, outcome, holds=(version,))
+            session.fail(subrequest, outcome, holds=(version,))
     while session.end is None:
         session.tick(max(session.now, session.gather.next_wake()))
     answer = session.result
@@ -426,37 +430,37 @@
     assert session.open == {}, "nothing is left under way"
     assert len(versions_in(answer)) <= 1, "one snapshot"
     covered = set(answer.items_by_shard)
-    lacking = {lack.shard for lack in answer.lacking}
+    missing_shards = {missing.shard for missing in answer.missing_shards}
     total = answer.snapshot.map_size if answer.snapshot else 4
-    assert covered | lacking == set(range(total)), "every shard is accounted for"
-    assert not covered & lacking
-    if isinstance(session.end, Answered):
+    assert covered | missing_shards == set(range(total)), "every shard is accounted for"
+    assert not covered & missing_shards
+    if isinstance(session.end, QueryAnswered):
         assert answer.coverage >= policy.least_coverage
     most = 4 * (5 + MAX_VERSION_RETRIES)
-    assert len(session.all_asks) <= most, "no ask without bound"
+    assert len(session.all_subrequests) <= most, "no ask without bound"
 
 
 @pytest.mark.parametrize("instances", [1, 3])
 def test_index_that_was_set_back_is_answered_at_its_older_version(instances: int) -> None:
     session = Session(instances=instances, hint=4)
     while session.end is None and session.open:
-        ask = next(iter(session.open.values()))
-        if ask.version == 4:
-            session.fail(ask, Outcome.WRONG_VERSION, holds=(1,))
+        subrequest = next(iter(session.open.values()))
+        if subrequest.version == 4:
+            session.fail(subrequest, Outcome.WRONG_VERSION, holds=(1,))
         else:
-            session.answer(ask, version=1)
+            session.answer(subrequest, version=1)
     assert session.result.snapshot == Snapshot(1, instances)
-    assert session.result.whole
+    assert session.result.complete
     assert session.selector.last_version("ledger") == 1
 
 
 def test_one_replica_that_lags_does_not_move_the_others() -> None:
     session = Session(hint=4)
-    session.fail(session.ask_of(1), Outcome.WRONG_VERSION, holds=(3,))
-    assert len(session.all_asks) == 4, "only its replica is asked"
+    session.fail(session.subrequest_to(1), Outcome.WRONG_VERSION, holds=(3,))
+    assert len(session.all_subrequests) == 4, "only its replica is asked"
     for instance in range(3):
-        session.answer(session.ask_of(instance), version=4)
-    assert session.result.whole
+        session.answer(session.subrequest_to(instance), version=4)
+    assert session.result.complete
 
 
 @pytest.mark.parametrize(
@@ -468,14 +472,14 @@
     learn = selector.mark_ejected if lost == "ejected" else selector.mark_leaving
     learn("t2a", 0.0)
     session = Session(hint=2, selector=selector, policy=STRICT)
-    session.answer(session.ask_of(0), version=2)
-    session.answer(session.ask_of(1), version=2)
-    assert session.ask_of(2).target == "t2b"
-    session.fail(session.ask_of(2), Outcome.WRONG_VERSION, holds=(1,))
+    session.answer(session.subrequest_to(0), version=2)
+    session.answer(session.subrequest_to(1), version=2)
+    assert session.subrequest_to(2).target == "t2b"
+    session.fail(session.subrequest_to(2), Outcome.WRONG_VERSION, holds=(1,))
     assert session.end is None, "t2b gets the version in a moment"
     session.tick(0.02)
-    session.answer(session.ask_of(2), version=2)
-    assert session.result.whole
+    session.answer(session.subrequest_to(2), version=2)
+    assert session.result.complete
 
 
 @pytest.mark.parametrize(
@@ -489,12 +493,12 @@
 )
 def test_lagging_target_is_awaited_when_the_other_one_fails(outcomes: list[Outcome]) -> None:
     session = Session(hint=2, policy=STRICT)
-    session.answer(session.ask_of(0), version=2)
-    session.answer(session.ask_of(1), version=2)
-    session.fail(session.ask_of(2), Outcome.WRONG_VERSION, holds=(1,))
+    session.answer(session.subrequest_to(0), version=2)
+    session.answer(session.subrequest_to(1), version=2)
+    session.fail(session.subrequest_to(2), Outcome.WRONG_VERSION, holds=(1,))
     for outcome in outcomes:
-        session.fail(session.ask_of(2), outcome)
+        session.fail(session.subrequest_to(2), outcome)
     assert session.end is None, "the first one gets the version in a moment"
     session.tick(0.02)
-    session.answer(session.ask_of(2), version=2)
-    assert session.result.whole
+    session.answer(session.subrequest_to(2), version=2)
+    assert session.result.complete
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -113,8 +113,8 @@
         GATHER + "test_lagging_instance_is_awaited_when_its_other_target_is_out",
         Mutant(
             "trackwheel/gateway/gather.py",
-            "        self._instances[number].tried = lacks if available else set()\n",
-            "        self._instances[number].tried = lacks\n",
+            "        self._instances[number].tried = without_version if available else set()\n",
+            "        self._instances[number].tried = without_version\n",
         ),
     ),
     Row(
@@ -124,7 +124,7 @@
         TARGETS + "test_versions_flip_under_load",
         Mutant(
             "trackwheel/gateway/gather.py",
-            "        if not self._reconsider(now):\n            self._await_version",
+            "        if not self._reselect_version(now):\n            self._await_version",
             "        if False:\n            self._await_version",
         ),
     ),
@@ -180,8 +180,8 @@
         GATHER + "test_doubled_and_foreign_answers_are_passed_over",
         Mutant(
             "trackwheel/gateway/gather.py",
-            "ask = self._ask_by_nonce.pop(event.nonce, None)",
-            "ask = self._ask_by_nonce.get(event.nonce)",
+            "subrequest = self._subrequest_by_nonce.pop(event.nonce, None)",
+            "subrequest = self._subrequest_by_nonce.get(event.nonce)",
         ),
     ),
     Row(
@@ -276,8 +276,8 @@
         GATHER + "test_lost_replicas_are_given_up_at_once_when_all_is_wanted",
         Mutant(
             "trackwheel/gateway/gather.py",
-            "if nothing_more or now >= self._limit or self._hopeless(least):",
-            "if nothing_more or now >= self._limit:",
+            "if nothing_more or now >= self._hard_deadline or self._coverage_unreachable(least):",
+            "if nothing_more or now >= self._hard_deadline:",
         ),
     ),
     Row(
--- a/trackwheel/gateway/http.py
+++ b/trackwheel/gateway/http.py
@@ -30,12 +30,12 @@
 from trackwheel.gateway.once import OnceRequest, OnceResult, OnceRunner
 from trackwheel.gateway.queries import CoverageTooLowError, QueryRunner
 from trackwheel.gateway.responses import (
+    answer_items,
+    coverage_fields,
+    digest_response,
     error_response,
-    items_of,
     once_response,
     retry_headers,
-    sealed,
-    shards_of,
 )
 from trackwheel.telemetry.burn import Burn
 from trackwheel.telemetry.logs import Log
@@ -83,7 +83,7 @@
             try:
                 return await handler(request, self._group(request))
             except CoverageTooLowError as error:
-                return error_response(error, shards_of(error.result))
+                return error_response(error, coverage_fields(error.result))
             except CallerError as error:
                 return error_response(error)
             except Exception as error:
@@ -128,15 +128,15 @@
         outcome = "internal"
         try:
             result = await self._queries.run(group.name, service, policy, body.query)
-            outcome = "good" if result.answer.whole else "lacking"
+            outcome = "good" if result.answer.complete else "lacking"
         except CallerError as error:
             outcome = error.problem.code
             raise
         finally:
             took_s = steady_now() - started
             self._burn.count(group.name, service, policy, outcome, took_s)
-        answer = {**shards_of(result), "items": items_of(result.answer), "end": True}
-        return sealed(msgspec.json.encode(answer), {HEADER_QUERY_ID: result.query_id})
+        answer = {**coverage_fields(result), "items": answer_items(result.answer), "end": True}
+        return digest_response(msgspec.json.encode(answer), {HEADER_QUERY_ID: result.query_id})
 
     async def _ids(self, request: Request, group: GroupSpec) -> Response:
         body = await read_body(request, IdsBody)
@@ -144,7 +144,7 @@
             detail = f"count lies between 1 and {MAX_IDS_PER_REQUEST}"
             raise refuse(Code.BAD_REQUEST, "read", detail, "Ask for fewer ids at a time")
         ids = self._once.issue(group.name, body.count)
-        return sealed(msgspec.json.encode({"ids": ids, "end": True}), {})
+        return digest_response(msgspec.json.encode({"ids": ids, "end": True}), {})
 
     async def _execute(self, request: Request, group: GroupSpec) -> Response:
         body = await read_body(request, ExecuteBody)
@@ -179,7 +179,7 @@
             result = OnceResult(wanted.request_id, RunOutcome.UNKNOWN, "issuer_gone", b"", 0.0)
             return once_response(result)
         headers = retry_headers(reply.retry_after_s)
-        return sealed(reply.payload, headers, reply.status)
+        return digest_response(reply.payload, headers, reply.status)
 
     async def serve_forward(self, forward: Forward) -> ForwardReply:
         """Answer another box for a request whose id this box issued."""
--- a/trackwheel/gateway/models.py
+++ b/trackwheel/gateway/models.py
@@ -15,7 +15,7 @@
     map_size: int
 
 
-class Lack(NamedTuple):
+class MissingShard(NamedTuple):
     """Name a shard that an answer does not cover, and why."""
 
     shard: int
@@ -27,21 +27,21 @@
 
     snapshot: Snapshot | None
     items_by_shard: dict[int, list[msgspec.Raw]]
-    lacking: tuple[Lack, ...]
+    missing_shards: tuple[MissingShard, ...]
 
     @property
     def coverage(self) -> float:
         """Return the part of the shards that the answer covers."""
-        total = len(self.items_by_shard) + len(self.lacking)
+        total = len(self.items_by_shard) + len(self.missing_shards)
         return len(self.items_by_shard) / total if total else 0.0
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Return whether the answer covers every shard of its snapshot."""
-        return self.snapshot is not None and not self.lacking
+        return self.snapshot is not None and not self.missing_shards
 
 
-class Plan(NamedTuple):
+class QueryPlan(NamedTuple):
     """Hold what a query needs: targets by instance and the policy it lives under (seconds)."""
 
     query_id: str
@@ -52,18 +52,18 @@
     version_hint: int | None
 
 
-class ShardAnswer(NamedTuple):
+class SubrequestResult(NamedTuple):
     """Event: a sub-request ended; `items_by_shard` is there when it ended well (seconds)."""
 
     nonce: int
     outcome: Outcome
     snapshot: Snapshot | None
     items_by_shard: dict[int, list[msgspec.Raw]]
-    holds: tuple[int, ...]
+    held_versions: tuple[int, ...]
     retry_after_s: float
 
 
-class AskTarget(NamedTuple):
+class SendSubrequest(NamedTuple):
     """Command: ask a target for its shards at a version."""
 
     nonce: int
@@ -74,20 +74,20 @@
     reason: str
 
 
-class WithdrawAsk(NamedTuple):
+class CancelSubrequest(NamedTuple):
     """Command: take an ask back."""
 
     nonce: int
     target: str
 
 
-class Answered(NamedTuple):
+class QueryAnswered(NamedTuple):
     """Command: give the caller this answer."""
 
     answer: Answer
 
 
-class GivenUp(NamedTuple):
+class QueryFailed(NamedTuple):
     """Command: tell the caller at once that there will be no answer (seconds)."""
 
     answer: Answer
@@ -95,7 +95,7 @@
     retry_after_s: float
 
 
-GatherCommand = AskTarget | WithdrawAsk | Answered | GivenUp
+GatherCommand = SendSubrequest | CancelSubrequest | QueryAnswered | QueryFailed
 
 
 class Forward(NamedTuple):
--- a/trackwheel/gateway/queries.py
+++ b/trackwheel/gateway/queries.py
@@ -18,14 +18,14 @@
 from trackwheel.gateway.gather import Gather
 from trackwheel.gateway.models import (
     Answer,
-    Answered,
-    AskTarget,
+    CancelSubrequest,
     GatherCommand,
-    GivenUp,
-    Plan,
-    ShardAnswer,
+    QueryAnswered,
+    QueryFailed,
+    QueryPlan,
+    SendSubrequest,
     Snapshot,
-    WithdrawAsk,
+    SubrequestResult,
 )
 from trackwheel.gateway.owner_watch import OwnerSilent, OwnerWatch, PingOwner
 from trackwheel.gateway.target_selector import TargetSelector
@@ -66,7 +66,7 @@
         self.result = result
 
 
-class _Asked(NamedTuple):
+class _SentSubrequest(NamedTuple):
     """Remember where an ask went."""
 
     target: str
@@ -74,15 +74,15 @@
     instance: int
 
 
-class _Running:
+class _RunningQuery:
     """Hold one query that is under way."""
 
     def __init__(self, gather: Gather, service: ServiceSpec, trace: Trace) -> None:
         self.gather = gather
         self.service = service
         self.trace = trace
-        self.inbox: Inbox[ShardAnswer] = Inbox()
-        self.asked_by_nonce: dict[int, _Asked] = {}
+        self.inbox: Inbox[SubrequestResult] = Inbox()
+        self.sent_by_nonce: dict[int, _SentSubrequest] = {}
         self.max_queue_delay_s = 0.0
         self.shed = False
 
@@ -107,12 +107,12 @@
         self._traces = traces
         self._admission = Admission(seed=1)
         self._budget_by_service: dict[str, RetryBudget] = {}
-        self._running_by_id: dict[str, _Running] = {}
+        self._running_by_id: dict[str, _RunningQuery] = {}
         self._numbers = itertools.count(1)
         self._watch = OwnerWatch()
         self._watch_changed = anyio.Event()
         self.foreign_answers = 0
-        hub.register(SubAnswer, self._take)
+        hub.register(SubAnswer, self._handle_answer)
         hub.register(Pong, lambda sender, pong: self._watch.heard(sender.address))
         hub.on_link_lost(self._link_lost)
 
@@ -166,15 +166,15 @@
             raise refuse(Code.OVERLOADED, "admit", detail, "Come back later", retry_s)
         running = self._begin(query_id, group, service, policy, trace, now)
         try:
-            end = await self._follow(running, query)
+            end = await self._drive(running, query)
         finally:
             del self._running_by_id[query_id]
             if not running.gather.ended:
-                self._withdraw_all(running)
+                self._cancel_all(running)
             deadline_s = policy.deadline_s
             completion = QueryCompletion(now, running.max_queue_delay_s, running.shed, deadline_s)
             window.release(completion, steady_now())
-        return self._conclude(running, end)
+        return self._to_result(running, end)
 
     def _begin(
         self,
@@ -184,14 +184,14 @@
         policy: Policy,
         trace: Trace,
         now: float,
-    ) -> _Running:
+    ) -> _RunningQuery:
         targets = tuple(
             tuple(target.address for target in instance) for instance in service.targets_by_instance
         )
         hint = self._selector.last_version(service.name)
-        plan = Plan(query_id, service.name, group, policy, targets, hint)
+        plan = QueryPlan(query_id, service.name, group, policy, targets, hint)
         gather = Gather(plan, self._selector, self._budget(service), now)
-        running = self._running_by_id[query_id] = _Running(gather, service, trace)
+        running = self._running_by_id[query_id] = _RunningQuery(gather, service, trace)
         return running
 
     def _budget(self, service: ServiceSpec) -> RetryBudget:
@@ -201,50 +201,50 @@
         budget.ratio = service.extra_load
         return budget
 
-    async def _follow(self, running: _Running, query: str) -> Answered | GivenUp:
+    async def _drive(self, running: _RunningQuery, query: str) -> QueryAnswered | QueryFailed:
         """Let the gather decide until it ends."""
         gather = running.gather
         commands = gather.start(steady_now())
         while True:
-            end = self._perform(running, commands, query)
+            end = self._execute(running, commands, query)
             if end is not None:
                 return end
             events = await running.inbox.take(gather.next_wake())
             now = steady_now()
             commands = []
             for event in events:
-                commands += gather.answered(event, now)
+                commands += gather.handle_result(event, now)
             commands += gather.tick(now)
 
-    def _perform(
-        self, running: _Running, commands: list[GatherCommand], query: str
-    ) -> Answered | GivenUp | None:
-        end: Answered | GivenUp | None = None
-        asks_by_owner_and_version: defaultdict[tuple[str, int | None], list[Ask]]
-        asks_by_owner_and_version = defaultdict(list)
-        withdrawn_by_owner: defaultdict[str, list[Ask]] = defaultdict(list)
+    def _execute(
+        self, running: _RunningQuery, commands: list[GatherCommand], query: str
+    ) -> QueryAnswered | QueryFailed | None:
+        end: QueryAnswered | QueryFailed | None = None
+        subrequests_by_owner_and_version: defaultdict[tuple[str, int | None], list[Ask]]
+        subrequests_by_owner_and_version = defaultdict(list)
+        cancelled_by_owner: defaultdict[str, list[Ask]] = defaultdict(list)
         for command in commands:
             match command:
-                case AskTarget():
-                    owner = self._note_ask(running, command)
-                    ask = Ask(command.nonce, command.target, command.last_resort)
-                    asks_by_owner_and_version[owner, command.version].append(ask)
-                case WithdrawAsk(nonce, target):
-                    asked = running.asked_by_nonce.get(nonce)
-                    if asked is not None and asked.owner:
-                        withdrawn_by_owner[asked.owner].append(Ask(nonce, target, False))
-                case Answered() | GivenUp():
+                case SendSubrequest():
+                    owner = self._record_send(running, command)
+                    subrequest = Ask(command.nonce, command.target, command.last_resort)
+                    subrequests_by_owner_and_version[owner, command.version].append(subrequest)
+                case CancelSubrequest(nonce, target):
+                    sent = running.sent_by_nonce.get(nonce)
+                    if sent is not None and sent.owner:
+                        cancelled_by_owner[sent.owner].append(Ask(nonce, target, False))
+                case QueryAnswered() | QueryFailed():
                     end = command
-        for owner, asks in withdrawn_by_owner.items():
-            self._hub.send(owner, Withdraw(running.gather.plan.query_id, asks))
-        for (owner, version), asks in asks_by_owner_and_version.items():
-            self._scatter(running, owner, version, asks, query)
+        for owner, subrequests in cancelled_by_owner.items():
+            self._hub.send(owner, Withdraw(running.gather.plan.query_id, subrequests))
+        for (owner, version), subrequests in subrequests_by_owner_and_version.items():
+            self._scatter(running, owner, version, subrequests, query)
         return end
 
-    def _note_ask(self, running: _Running, command: AskTarget) -> str:
+    def _record_send(self, running: _RunningQuery, command: SendSubrequest) -> str:
         owner = self._owner_address(running.service, command.target)
-        asked = _Asked(command.target, owner, command.instance)
-        running.asked_by_nonce[command.nonce] = asked
+        sent = _SentSubrequest(command.target, owner, command.instance)
+        running.sent_by_nonce[command.nonce] = sent
         detail = (
             command.reason if command.version is None else f"{command.reason} v{command.version}"
         )
@@ -252,65 +252,70 @@
         return owner
 
     def _scatter(
-        self, running: _Running, owner: str, version: int | None, asks: list[Ask], query: str
+        self,
+        running: _RunningQuery,
+        owner: str,
+        version: int | None,
+        subrequests: list[Ask],
+        query: str,
     ) -> None:
         """Send all of a query's asks for one owner in one message."""
         plan = running.gather.plan
-        deadline_ms = (running.gather.limit - steady_now()) * 1000
+        deadline_ms = (running.gather.hard_deadline - steady_now()) * 1000
         message = Scatter(
-            plan.query_id, plan.service, plan.group, deadline_ms, version, query, asks
+            plan.query_id, plan.service, plan.group, deadline_ms, version, query, subrequests
         )
         if owner and self._hub.send(owner, message):
             if owner != self._hub.identity.address:
                 self._watch.asked(owner, steady_now())
                 self._watch_changed.set()
             return
-        for ask in asks:
-            running.inbox.put(_without_owner(ask.nonce))
+        for subrequest in subrequests:
+            running.inbox.put(_no_owner(subrequest.nonce))
 
-    def _take(self, sender: PeerIdentity, answer: SubAnswer) -> None:
+    def _handle_answer(self, sender: PeerIdentity, answer: SubAnswer) -> None:
         """Hand an answer to its query; one that fits no query is dropped and counted."""
         self._watch.heard(sender.address)
         running = self._running_by_id.get(answer.query_id)
-        asked = running.asked_by_nonce.get(answer.nonce) if running is not None else None
-        if running is None or asked is None or asked.owner != sender.address:
+        sent = running.sent_by_nonce.get(answer.nonce) if running is not None else None
+        if running is None or sent is None or sent.owner != sender.address:
             self.foreign_answers += 1
             return
-        event = self._read(answer)
+        event = self._decode(answer)
         self._selector.record_queue_delay(
-            asked.target, answer.delay_ms / 1000, answer.service_ms / 1000, steady_now()
+            sent.target, answer.delay_ms / 1000, answer.service_ms / 1000, steady_now()
         )
         running.max_queue_delay_s = max(running.max_queue_delay_s, answer.delay_ms / 1000)
         running.shed = running.shed or event.outcome in (Outcome.SHED, Outcome.LATE)
         detail = f"{event.outcome} {answer.service_ms:.1f} ms"
-        running.trace.note("end", asked.instance, asked.target, asked.owner, detail)
+        running.trace.note("end", sent.instance, sent.target, sent.owner, detail)
         running.inbox.put(event)
 
-    def _read(self, answer: SubAnswer) -> ShardAnswer:
+    def _decode(self, answer: SubAnswer) -> SubrequestResult:
         """Return the event of an answer; one that is not its own sub-request's has failed."""
         retry_s = answer.retry_after_ms / 1000
-        holds = tuple(answer.holds)
+        held_versions = tuple(answer.holds)
         if answer.outcome is not Outcome.OK:
-            return ShardAnswer(answer.nonce, answer.outcome, None, {}, holds, retry_s)
+            return SubrequestResult(answer.nonce, answer.outcome, None, {}, held_versions, retry_s)
         try:
             read = msgspec.json.decode(answer.body, type=TargetAnswer)
         except msgspec.DecodeError:
-            return ShardAnswer(answer.nonce, Outcome.FAILED, None, {}, (), retry_s)
+            return SubrequestResult(answer.nonce, Outcome.FAILED, None, {}, (), retry_s)
         own = read.nonce == f"{answer.query_id}.{answer.nonce}" and read.end
         if not own or read.map_size < 1:
             self.foreign_answers += 1
-            return ShardAnswer(answer.nonce, Outcome.FAILED, None, {}, (), retry_s)
+            return SubrequestResult(answer.nonce, Outcome.FAILED, None, {}, (), retry_s)
         snapshot = Snapshot(read.version, read.map_size)
-        return ShardAnswer(answer.nonce, Outcome.OK, snapshot, read.shards, (), retry_s)
+        return SubrequestResult(answer.nonce, Outcome.OK, snapshot, read.shards, (), retry_s)
 
     def _reassign(self, silent: str) -> None:
         """End the asks at a silent owner whose targets have another owner now."""
         for running in self._running_by_id.values():
-            for nonce, asked in running.asked_by_nonce.items():
-                if asked.owner != silent:
+            for nonce, sent in running.sent_by_nonce.items():
+                if sent.owner != silent:
                     continue
-                if self._owner_address(running.service, asked.target) != silent:
-                    running.inbox.put(_without_owner(nonce))
+                if self._owner_address(running.service, sent.target) != silent:
+                    running.inbox.put(_no_owner(nonce))
 
     def _owner_address(self, service: ServiceSpec, target: str) -> str:
         member = self._owners.owner(service, target)
@@ -319,21 +324,21 @@
     def _link_lost(self, address: str) -> None:
         """End every ask at an owner that cannot be reached."""
         for running in self._running_by_id.values():
-            for nonce, asked in running.asked_by_nonce.items():
-                if asked.owner == address:
-                    running.inbox.put(_without_owner(nonce))
+            for nonce, sent in running.sent_by_nonce.items():
+                if sent.owner == address:
+                    running.inbox.put(_no_owner(nonce))
 
-    def _withdraw_all(self, running: _Running) -> None:
+    def _cancel_all(self, running: _RunningQuery) -> None:
         """Take back everything of a query whose caller has gone."""
         query_id = running.gather.plan.query_id
         running.trace.end("caller gone")
-        running.gather.abandon()
-        for nonce, asked in running.asked_by_nonce.items():
-            if asked.owner:
-                withdraw = Withdraw(query_id, [Ask(nonce, asked.target, False)])
-                self._hub.send(asked.owner, withdraw)
+        running.gather.cancel()
+        for nonce, sent in running.sent_by_nonce.items():
+            if sent.owner:
+                withdraw = Withdraw(query_id, [Ask(nonce, sent.target, False)])
+                self._hub.send(sent.owner, withdraw)
 
-    def _log_given_up(self, running: _Running, end: GivenUp) -> None:
+    def _log_failure(self, running: _RunningQuery, end: QueryFailed) -> None:
         budget = self._budget(running.service)
         trace = running.trace
         self._log.write(
@@ -342,21 +347,21 @@
             service=running.service.name,
             took_ms=round(trace.took_ms, 1),
             overloaded=end.overloaded,
-            lacking=_count_reasons([lack.reason for lack in end.answer.lacking]),
-            requests=len(running.asked_by_nonce),
+            lacking=_count_reasons([missing.reason for missing in end.answer.missing_shards]),
+            requests=len(running.sent_by_nonce),
             budget_left=round(budget.balance, 1),
         )
 
-    def _conclude(self, running: _Running, end: Answered | GivenUp) -> QueryResult:
+    def _to_result(self, running: _RunningQuery, end: QueryAnswered | QueryFailed) -> QueryResult:
         result = QueryResult(running.gather.plan.query_id, end.answer)
-        if isinstance(end, Answered):
-            running.trace.end("whole" if end.answer.whole else "partial")
+        if isinstance(end, QueryAnswered):
+            running.trace.end("whole" if end.answer.complete else "partial")
             return result
         running.trace.end("given up")
-        self._log_given_up(running, end)
+        self._log_failure(running, end)
         code = Code.OVERLOADED if end.overloaded else Code.COVERAGE_TOO_LOW
-        lacking = len(end.answer.lacking)
-        detail = f"{lacking} shards could not be covered in time"
+        missing_shards = len(end.answer.missing_shards)
+        detail = f"{missing_shards} shards could not be covered in time"
         retry_s = self._admission.retry_after(end.retry_after_s)
         error = refuse(code, "gather", detail, "Come back later", retry_s)
         raise CoverageTooLowError(error, result)
@@ -366,5 +371,5 @@
     return ", ".join(f"{reason} {count}" for reason, count in Counter(reasons).items())
 
 
-def _without_owner(nonce: int) -> ShardAnswer:
-    return ShardAnswer(nonce, Outcome.NO_OWNER, None, {}, (), 0.0)
+def _no_owner(nonce: int) -> SubrequestResult:
+    return SubrequestResult(nonce, Outcome.NO_OWNER, None, {}, (), 0.0)
--- a/trackwheel/gateway/responses.py
+++ b/trackwheel/gateway/responses.py
@@ -34,21 +34,21 @@
 }
 
 
-def shards_of(result: QueryResult) -> dict[str, Any]:
+def coverage_fields(result: QueryResult) -> dict[str, Any]:
     """Return what an answer covers and lacks."""
     answer = result.answer
     return {
         "id": result.query_id,
         "version": answer.snapshot.version if answer.snapshot else None,
         "map_size": answer.snapshot.map_size if answer.snapshot else None,
-        "whole": answer.whole,
+        "whole": answer.complete,
         "coverage": answer.coverage,
         "covered": sorted(answer.items_by_shard),
-        "lacking": [lack._asdict() for lack in answer.lacking],
+        "lacking": [missing._asdict() for missing in answer.missing_shards],
     }
 
 
-def items_of(answer: Answer) -> list[dict[str, Any]]:
+def answer_items(answer: Answer) -> list[dict[str, Any]]:
     """Return the items of an answer, shard by shard."""
     return [
         {"shard": shard, "items": items} for shard, items in sorted(answer.items_by_shard.items())
@@ -69,10 +69,10 @@
             "end": True,
         }
     )
-    return sealed(body, {})
+    return digest_response(body, {})
 
 
-def sealed(payload: bytes, headers: dict[str, str], status: int = 200) -> Response:
+def digest_response(payload: bytes, headers: dict[str, str], status: int = 200) -> Response:
     """Return a response with its length and digest, so that half of it is seen as half."""
     digest = hashlib.sha256(payload).hexdigest()
     return Response(
@@ -105,4 +105,4 @@
     if error.retry_after_s > 0:
         body["retry_after_ms"] = math.ceil(error.retry_after_s * 1000)
     headers = retry_headers(error.retry_after_s)
-    return sealed(msgspec.json.encode(body), headers, status)
+    return digest_response(msgspec.json.encode(body), headers, status)
--- a/trackwheel/gateway/snapshots.py
+++ b/trackwheel/gateway/snapshots.py
@@ -5,15 +5,15 @@
 
 import msgspec
 
-from trackwheel.gateway.models import Answer, Lack, Snapshot
+from trackwheel.gateway.models import Answer, MissingShard, Snapshot
 
-CERTAIN_LEAD: Final = 2
+MIN_CONFIRMED_LEAD: Final = 2
 """One target may lag; two instances more that hold a version say that the others have it too."""
 
 Items = dict[int, list[msgspec.Raw]]
 
 
-class Collected:
+class CollectedAnswers:
     """Keep what has been answered at each snapshot, one answer for each shard."""
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         """Return the versions at which anything has been answered."""
         return self._instances_by_version
 
-    def answered(self, version: int | None) -> set[int]:
+    def instances_at(self, version: int | None) -> set[int]:
         """Return the instances that have answered at a version."""
         if version is None:
             return set()
@@ -42,14 +42,14 @@
         """Return whether any snapshot has another number of shards than there are instances."""
         return any(snapshot.map_size != instances for snapshot in self._items_by_snapshot)
 
-    def whole(self) -> Snapshot | None:
+    def complete_snapshot(self) -> Snapshot | None:
         """Return a snapshot of which every shard has been answered."""
         for snapshot, items in self._items_by_snapshot.items():
             if len(items) == snapshot.map_size:
                 return snapshot
         return None
 
-    def best(self) -> Snapshot | None:
+    def best_snapshot(self) -> Snapshot | None:
         """Return the snapshot that covers the largest part of its shards, the newest of equals."""
         return max(
             self._items_by_snapshot,
@@ -60,23 +60,27 @@
             default=None,
         )
 
-    def answer(self, snapshot: Snapshot | None, reasons: dict[int, str], instances: int) -> Answer:
+    def build_answer(
+        self, snapshot: Snapshot | None, reasons: dict[int, str], instances: int
+    ) -> Answer:
         """Return the answer at one snapshot with all that it lacks."""
         items = self._items_by_snapshot.get(snapshot, {}) if snapshot else {}
         total = snapshot.map_size if snapshot else instances
         missing = (shard for shard in range(total) if shard not in items)
-        lacking = tuple(Lack(shard, reasons.get(shard, "not_answered")) for shard in missing)
-        return Answer(snapshot, items, lacking)
+        missing_shards = tuple(
+            MissingShard(shard, reasons.get(shard, "not_answered")) for shard in missing
+        )
+        return Answer(snapshot, items, missing_shards)
 
 
-class _Standing(NamedTuple):
+class _Support(NamedTuple):
     """Compare versions: how many instances may answer, and how many certainly can."""
 
-    reach: int
-    certain: int
+    reachable: int
+    confirmed: int
 
 
-class VersionChoice:
+class VersionSelector:
     """Choose the version to ask for: the one that most instances can answer at.
 
     An instance has left a version behind when all of its targets hold only newer ones; it can
@@ -86,74 +90,76 @@
 
     def __init__(self, targets_by_instance: tuple[tuple[str, ...], ...], hint: int | None) -> None:
         self._targets_by_instance = targets_by_instance
-        self._held_by_target: dict[str, frozenset[int]] = {}
+        self._versions_by_target: dict[str, frozenset[int]] = {}
         self.version = hint
 
-    def learn(self, target: str, held: Iterable[int], exact: bool) -> None:
+    def update(self, target: str, held: Iterable[int], exact: bool) -> None:
         """Take which versions a target holds; when exact, it holds no others now."""
         known = frozenset(held)
         if not exact:
-            known |= self._held_by_target.get(target, frozenset())
-        self._held_by_target[target] = known
+            known |= self._versions_by_target.get(target, frozenset())
+        self._versions_by_target[target] = known
 
     def holds(self, target: str, version: int | None) -> bool | None:
         """Return whether a target holds a version, None when that is not known."""
-        held = self._held_by_target.get(target)
+        held = self._versions_by_target.get(target)
         if held is None or version is None:
             return None
         return version in held
 
-    def reconsider(self, collected: Collected) -> bool:
+    def reselect(self, collected: CollectedAnswers) -> bool:
         """Choose anew; return whether another version was chosen."""
-        candidates = {version for held in self._held_by_target.values() for version in held}
+        candidates = {version for held in self._versions_by_target.values() for version in held}
         candidates.update(collected.versions())
         known = frozenset(candidates)
         if self.version is not None:
             candidates.add(self.version)
         if not candidates:
             return False
-        standing_by_version = {
-            version: _Standing(
-                self._reach(version, collected, version in known),
-                self._certain(version, collected),
+        support_by_version = {
+            version: _Support(
+                self._count_reachable(version, collected, version in known),
+                self._count_confirmed(version, collected),
             )
             for version in candidates
         }
-        best = max(candidates, key=lambda version: (*standing_by_version[version], version))
-        if best == self.version or not self._worth_moving(standing_by_version, best):
+        best_version = max(candidates, key=lambda version: (*support_by_version[version], version))
+        if best_version == self.version or not self._worth_switching(
+            support_by_version, best_version
+        ):
             return False
-        self.version = best
+        self.version = best_version
         return True
 
-    def _worth_moving(self, standing_by_version: dict[int, _Standing], best: int) -> bool:
+    def _worth_switching(self, support_by_version: dict[int, _Support], best_version: int) -> bool:
         """Return whether a version is so much better that asking anew is worth its load."""
         if self.version is None:
             return True
-        current, other = standing_by_version[self.version], standing_by_version[best]
-        if other.reach != current.reach:
+        current, other = support_by_version[self.version], support_by_version[best_version]
+        if other.reachable != current.reachable:
             return True
-        return other.certain >= current.certain + CERTAIN_LEAD
+        return other.confirmed >= current.confirmed + MIN_CONFIRMED_LEAD
 
-    def _certain(self, version: int, collected: Collected) -> int:
+    def _count_confirmed(self, version: int, collected: CollectedAnswers) -> int:
         """Return how many instances have answered at a version or say that they hold it."""
-        answered = collected.answered(version)
+        answered = collected.instances_at(version)
         return sum(
             number in answered
-            or any(version in self._held_by_target.get(target, ()) for target in targets)
+            or any(version in self._versions_by_target.get(target, ()) for target in targets)
             for number, targets in enumerate(self._targets_by_instance)
         )
 
-    def _reach(self, version: int, collected: Collected, known: bool) -> int:
+    def _count_reachable(self, version: int, collected: CollectedAnswers, known: bool) -> int:
         """Return how many instances have answered at a version or may still do so."""
-        answered = collected.answered(version)
+        answered = collected.instances_at(version)
         return sum(
-            number in answered or self._may_answer(targets, version, known)
+            number in answered or self._can_answer(targets, version, known)
             for number, targets in enumerate(self._targets_by_instance)
         )
 
-    def _may_answer(self, targets: tuple[str, ...], version: int, known: bool) -> bool:
+    def _can_answer(self, targets: tuple[str, ...], version: int, known: bool) -> bool:
         for target in targets:
-            held = self._held_by_target.get(target)
+            held = self._versions_by_target.get(target)
             if not held or version in held:
                 return True
             if known and version > max(held):
