--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -30,7 +30,7 @@
 PARTS = (TRUTH, LOAD, FILES, FLEET, PLATFORM)
 
 GATHER = "tests/gateway/test_gather.py::"
-ONCE = "tests/gateway/test_once.py::"
+ONCE = "tests/gateway/test_execution.py::"
 TARGETS = "tests/whole/test_target_faults.py::"
 BOXES = "tests/whole/test_box_faults.py::"
 TLS = "tests/whole/test_tls.py::"
--- a/trackwheel/app.py
+++ b/trackwheel/app.py
@@ -20,10 +20,10 @@
 from trackwheel.fleet.models import FLEET_MESSAGES, Member, Status, TargetNote
 from trackwheel.fleet.service import FleetService
 from trackwheel.garbage import tune_garbage_collection
+from trackwheel.gateway.execution_runner import OnceRunner
 from trackwheel.gateway.forwarding import Forwarder
 from trackwheel.gateway.http import CallersApp
 from trackwheel.gateway.models import GATEWAY_MESSAGES
-from trackwheel.gateway.once import OnceRunner
 from trackwheel.gateway.queries import QueryRunner
 from trackwheel.gateway.target_selector import TargetSelector
 from trackwheel.operators import OperatorsApp
--- a/trackwheel/gateway/http.py
+++ b/trackwheel/gateway/http.py
@@ -24,10 +24,10 @@
     PATH_QUERY,
 )
 from trackwheel.gateway.errors import CallerError, Code, refuse
+from trackwheel.gateway.execution_runner import OnceRequest, OnceResult, OnceRunner
 from trackwheel.gateway.forwarding import Forwarder, ForwardReply
 from trackwheel.gateway.ledger import parse_id
 from trackwheel.gateway.models import Forward
-from trackwheel.gateway.once import OnceRequest, OnceResult, OnceRunner
 from trackwheel.gateway.queries import CoverageTooLowError, QueryRunner
 from trackwheel.gateway.responses import (
     answer_items,
--- a/trackwheel/gateway/responses.py
+++ b/trackwheel/gateway/responses.py
@@ -11,8 +11,8 @@
 from trackwheel.errors import Problem
 from trackwheel.gateway.const import HEADER_DIGEST, HEADER_RETRY_AFTER_MS
 from trackwheel.gateway.errors import CallerError, Code
+from trackwheel.gateway.execution_runner import OnceResult, error_of
 from trackwheel.gateway.models import Answer
-from trackwheel.gateway.once import OnceResult, error_of
 from trackwheel.gateway.queries import QueryResult
 
 STATUS_BY_CODE: Final = {
