--- a/tests/gateway/test_execution.py
+++ b/tests/gateway/test_execution.py
@@ -8,11 +8,11 @@
 from trackwheel.dispatch.models import ExecuteAnswer, Outcome, PermitRequest, RunOutcome
 from trackwheel.gateway.const import ID_LIFETIME_S
 from trackwheel.gateway.execution import (
-    AnswerPermit,
-    AskOnce,
+    EnqueueExecution,
     Execution,
     ExecutionCommand,
     ExecutionPlan,
+    SendPermitReply,
     Settled,
 )
 from trackwheel.gateway.ledger import Ledger, Verdict, parse_id
@@ -25,7 +25,7 @@
     return Ledger("b007", b"secret")
 
 
-def issued(ledger: Ledger, now: float = 1.0) -> str:
+def new_id(ledger: Ledger, now: float = 1.0) -> str:
     return ledger.issue("clerks", 1, now)[0]
 
 
@@ -52,56 +52,56 @@
 def test_begin_checks_the_id(change: object, verdict: Verdict) -> None:
     ledger = new_ledger()
     assert callable(change)
-    request_id = change(issued(ledger))
+    request_id = change(new_id(ledger))
     assert ledger.begin(request_id, "clerks", BODY, 1.0).verdict is verdict
 
 
 def test_begin_refuses_another_group_another_body_and_an_old_id() -> None:
     ledger = new_ledger()
-    request_id = issued(ledger)
+    request_id = new_id(ledger)
     assert ledger.begin(request_id, "drivers", BODY, 1.0).verdict is Verdict.INVALID
     assert ledger.begin(request_id, "clerks", BODY, 1.0).verdict is Verdict.START
     assert ledger.begin(request_id, "clerks", b"other", 1.0).verdict is Verdict.REUSED
-    old = issued(ledger)
+    old = new_id(ledger)
     late = 1.0 + ID_LIFETIME_S + 1
     assert ledger.begin(old, "clerks", BODY, late).verdict is Verdict.EXPIRED
 
 
 def test_permit_is_granted_once() -> None:
     ledger = new_ledger()
-    request_id = issued(ledger)
+    request_id = new_id(ledger)
     attempt = ledger.begin(request_id, "clerks", BODY, 1.0).attempt
     assert ledger.begin(request_id, "clerks", BODY, 1.0).verdict is Verdict.JOIN
-    assert ledger.permit(request_id, attempt)
-    assert not ledger.permit(request_id, attempt)
-    assert ledger.give_up(request_id, attempt) is RunOutcome.UNKNOWN
+    assert ledger.grant_permit(request_id, attempt)
+    assert not ledger.grant_permit(request_id, attempt)
+    assert ledger.end_attempt(request_id, attempt) is RunOutcome.UNKNOWN
     assert ledger.begin(request_id, "clerks", BODY, 1.0).outcome is RunOutcome.UNKNOWN
-    ledger.done(request_id, attempt, b"late")
+    ledger.record_done(request_id, attempt, b"late")
     late = ledger.begin(request_id, "clerks", BODY, 1.0)
     assert (late.verdict, late.outcome, late.body) == (Verdict.FINAL, RunOutcome.DONE, b"late")
 
 
 def test_no_permit_after_giving_up_and_a_repeat_starts_anew() -> None:
     ledger = new_ledger()
-    request_id = issued(ledger)
+    request_id = new_id(ledger)
     first = ledger.begin(request_id, "clerks", BODY, 1.0).attempt
-    assert ledger.give_up(request_id, first) is RunOutcome.NOT_RUN
-    assert not ledger.permit(request_id, first)
+    assert ledger.end_attempt(request_id, first) is RunOutcome.NOT_RUN
+    assert not ledger.grant_permit(request_id, first)
     again = ledger.begin(request_id, "clerks", BODY, 1.0)
     assert again.verdict is Verdict.START
-    assert not ledger.permit(request_id, first), "the old attempt stays without permit"
-    assert ledger.permit(request_id, again.attempt)
+    assert not ledger.grant_permit(request_id, first), "the old attempt stays without permit"
+    assert ledger.grant_permit(request_id, again.attempt)
 
 
-class OnceSession:
+class ExecutionSession:
     """Drive one execution against targets that count what they run."""
 
     def __init__(self, ledger: Ledger, request_id: str, attempt: int, replicas: int = 2) -> None:
         targets = tuple(f"t{number}" for number in range(replicas))
         plan = ExecutionPlan("x1", request_id, attempt, targets, 1.0)
         self.execution = Execution(plan, ledger, TargetSelector(seed=1))
-        self.asks: list[AskOnce] = []
-        self.granted: list[AnswerPermit] = []
+        self.enqueued: list[EnqueueExecution] = []
+        self.granted: list[SendPermitReply] = []
         self.settled: Settled | None = None
         self.transcript = Transcript()
         self.take(self.execution.start(0.0))
@@ -109,44 +109,46 @@
     def take(self, commands: list[ExecutionCommand]) -> None:
         self.transcript.commands(commands)
         for command in commands:
-            if isinstance(command, AskOnce):
-                self.asks.append(command)
-            elif isinstance(command, AnswerPermit) and command.granted:
+            if isinstance(command, EnqueueExecution):
+                self.enqueued.append(command)
+            elif isinstance(command, SendPermitReply) and command.granted:
                 self.granted.append(command)
             elif isinstance(command, Settled):
                 assert self.settled is None, "told once"
                 self.settled = command
 
-    def permit(self, ask: AskOnce) -> None:
-        request = PermitRequest("x1", ask.nonce, ask.target, self.execution.plan.request_id, "b")
+    def permit(self, enqueued: EnqueueExecution) -> None:
+        request = PermitRequest(
+            "x1", enqueued.nonce, enqueued.target, self.execution.plan.request_id, "b"
+        )
         self.transcript.event(0.0, request)
-        self.take(self.execution.permit_requested(request))
+        self.take(self.execution.handle_permit_request(request))
 
-    def answer(self, ask: AskOnce, outcome: RunOutcome, reason: str = "") -> None:
-        event = ExecuteAnswer("x1", ask.nonce, outcome, reason, b"ok", 50.0)
+    def answer(self, enqueued: EnqueueExecution, outcome: RunOutcome, reason: str = "") -> None:
+        event = ExecuteAnswer("x1", enqueued.nonce, outcome, reason, b"ok", 50.0)
         self.transcript.event(0.0, event)
-        self.take(self.execution.answered(event, 0.0))
+        self.take(self.execution.handle_answer(event, 0.0))
 
     def lose_owner(self) -> None:
         self.transcript.event(0.0, "owner lost")
-        self.take(self.execution.owner_lost(0.0))
+        self.take(self.execution.handle_owner_lost(0.0))
 
     def expire(self) -> None:
         self.transcript.event(1.0, "deadline")
         self.take(self.execution.expire())
 
 
-def begun() -> OnceSession:
+def new_session() -> ExecutionSession:
     ledger = new_ledger()
-    request_id = issued(ledger)
+    request_id = new_id(ledger)
     attempt = ledger.begin(request_id, "clerks", BODY, 1.0).attempt
-    return OnceSession(ledger, request_id, attempt)
+    return ExecutionSession(ledger, request_id, attempt)
 
 
 def test_done() -> None:
-    session = begun()
-    session.permit(session.asks[0])
-    session.answer(session.asks[0], RunOutcome.DONE)
+    session = new_session()
+    session.permit(session.enqueued[0])
+    session.answer(session.enqueued[0], RunOutcome.DONE)
     assert session.settled is not None
     assert session.settled.outcome is RunOutcome.DONE
 
@@ -163,8 +165,8 @@
     ],
 )
 def test_what_the_caller_is_told(permitted: bool, event: str, outcome: RunOutcome | None) -> None:
-    session = begun()
-    first = session.asks[0]
+    session = new_session()
+    first = session.enqueued[0]
     if permitted:
         session.permit(first)
     if event == "expire":
@@ -177,10 +179,12 @@
         session.answer(first, RunOutcome.NOT_RUN, Outcome.SHED)
     if outcome is None:
         assert session.settled is None
-        assert [ask.target for ask in session.asks] == ["t0", "t1"] or len(session.asks) == 2
+        assert [command.target for command in session.enqueued] == ["t0", "t1"] or len(
+            session.enqueued
+        ) == 2
         session.permit(first)
         assert len(session.granted) == int(permitted), "the old owner gets no permit any more"
-        session.permit(session.asks[1])
+        session.permit(session.enqueued[1])
         assert len(session.granted) == int(permitted) + 1
         return
     assert session.settled is not None
@@ -191,21 +195,21 @@
 
 
 def test_frozen_owner_that_wakes_gets_no_permit() -> None:
-    session = begun()
+    session = new_session()
     session.expire()
     assert session.settled is not None
     assert session.settled.outcome is RunOutcome.NOT_RUN
-    session.permit(session.asks[0])
+    session.permit(session.enqueued[0])
     assert session.granted == []
 
 
 def test_golden_session_of_a_lost_owner_and_a_late_answer() -> None:
-    session = begun()
+    session = new_session()
     session.lose_owner()
-    session.permit(session.asks[0])
-    session.permit(session.asks[1])
+    session.permit(session.enqueued[0])
+    session.permit(session.enqueued[1])
     session.expire()
-    session.answer(session.asks[1], RunOutcome.DONE)
+    session.answer(session.enqueued[1], RunOutcome.DONE)
     session.transcript.check("once_lost_owner_and_late_answer")
 
 
@@ -219,33 +223,33 @@
 def test_no_order_of_events_runs_twice_or_lies(events: list[tuple[str, int]]) -> None:
     """Targets run whatever is permitted, whenever they like; the caller is told the truth."""
     ledger = new_ledger()
-    request_id = issued(ledger)
+    request_id = new_id(ledger)
     runs = 0
     told_not_run_while_permitted = False
-    sessions: list[OnceSession] = []
-    open_permits: list[tuple[OnceSession, AskOnce]] = []
+    sessions: list[ExecutionSession] = []
+    open_permits: list[tuple[ExecutionSession, EnqueueExecution]] = []
     counted: set[tuple[int, int]] = set()
 
     def start() -> None:
         decision = ledger.begin(request_id, "clerks", BODY, 1.0)
         if decision.verdict is Verdict.START:
-            sessions.append(OnceSession(ledger, request_id, decision.attempt))
+            sessions.append(ExecutionSession(ledger, request_id, decision.attempt))
 
     def collect() -> None:
         for number, session in enumerate(sessions):
             for permit in session.granted:
                 if (number, permit.nonce) not in counted:
                     counted.add((number, permit.nonce))
-                    open_permits.append((session, AskOnce(permit.nonce, permit.target)))
+                    open_permits.append((session, EnqueueExecution(permit.nonce, permit.target)))
 
     start()
     for event, pick in events:
         session = sessions[-1]
         if event == "permit":
-            session.permit(session.asks[-1])
+            session.permit(session.enqueued[-1])
         elif event == "old_permit":
             old = sessions[pick % len(sessions)]
-            old.permit(old.asks[pick % len(old.asks)])
+            old.permit(old.enqueued[pick % len(old.enqueued)])
         elif event in ("run", "refuse", "answer_lost") and open_permits:
             owner, permitted = open_permits.pop(pick % len(open_permits))
             if event == "refuse":
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -248,8 +248,8 @@
         ONCE + "test_what_the_caller_is_told",
         Mutant(
             "trackwheel/gateway/execution.py",
-            "        if self._permitted:\n            return self._give_up",
-            "        if False:\n            return self._give_up",
+            "        if self._permitted:\n            return self._fail",
+            "        if False:\n            return self._fail",
         ),
     ),
     Row(
--- a/trackwheel/app.py
+++ b/trackwheel/app.py
@@ -20,7 +20,7 @@
 from trackwheel.fleet.models import FLEET_MESSAGES, Member, Status, TargetNote
 from trackwheel.fleet.service import FleetService
 from trackwheel.garbage import tune_garbage_collection
-from trackwheel.gateway.execution_runner import OnceRunner
+from trackwheel.gateway.execution_runner import ExecutionRunner
 from trackwheel.gateway.forwarding import Forwarder
 from trackwheel.gateway.http import CallersApp
 from trackwheel.gateway.models import GATEWAY_MESSAGES
@@ -101,7 +101,7 @@
         self.queries = QueryRunner(
             self.hub, self.fleet, self.board, self.traces, self.quarantine, self.events
         )
-        self.once = OnceRunner(self.hub, self.fleet, self.board, self.traces)
+        self.once = ExecutionRunner(self.hub, self.fleet, self.board, self.traces)
         self.forwarder = Forwarder(self.hub, self.fleet)
         self.confirmations = Confirmations(
             self.hub,
--- a/trackwheel/gateway/execution.py
+++ b/trackwheel/gateway/execution.py
@@ -8,21 +8,21 @@
 from trackwheel.gateway.target_selector import TargetSelector
 
 
-class AskOnce(NamedTuple):
+class EnqueueExecution(NamedTuple):
     """Command: put the request in the queue of a target."""
 
     nonce: int
     target: str
 
 
-class WithdrawOnce(NamedTuple):
+class CancelExecution(NamedTuple):
     """Command: take the request out of a queue again."""
 
     nonce: int
     target: str
 
 
-class AnswerPermit(NamedTuple):
+class SendPermitReply(NamedTuple):
     """Command: answer an owner's permit request."""
 
     nonce: int
@@ -39,7 +39,7 @@
     retry_after_s: float
 
 
-ExecutionCommand = AskOnce | WithdrawOnce | AnswerPermit | Settled
+ExecutionCommand = EnqueueExecution | CancelExecution | SendPermitReply | Settled
 
 
 class ExecutionPlan(NamedTuple):
@@ -69,9 +69,9 @@
 
     def start(self, now: float) -> list[ExecutionCommand]:
         """Ask the first target."""
-        return self._ask_next(now)
+        return self._enqueue_next(now)
 
-    def permit_requested(self, request: PermitRequest) -> list[ExecutionCommand]:
+    def handle_permit_request(self, request: PermitRequest) -> list[ExecutionCommand]:
         """Grant a permit to the one ask that is under way, deny it to any other."""
         plan = self.plan
         current = request.nonce == self._nonce and request.target == self._target
@@ -79,24 +79,24 @@
             current
             and not self.settled
             and request.request_id == plan.request_id
-            and self._ledger.permit(plan.request_id, plan.attempt)
+            and self._ledger.grant_permit(plan.request_id, plan.attempt)
         )
         self._permitted = self._permitted or granted
-        return [AnswerPermit(request.nonce, request.target, granted)]
+        return [SendPermitReply(request.nonce, request.target, granted)]
 
-    def answered(self, answer: ExecuteAnswer, now: float) -> list[ExecutionCommand]:
+    def handle_answer(self, answer: ExecuteAnswer, now: float) -> list[ExecutionCommand]:
         """Take the end of an ask; a late `done` is remembered even when the caller has gone."""
         if answer.nonce != self._nonce:
             return []
         plan = self.plan
         if answer.outcome is RunOutcome.DONE:
-            self._ledger.done(plan.request_id, plan.attempt, answer.body)
+            self._ledger.record_done(plan.request_id, plan.attempt, answer.body)
             return self._settle(RunOutcome.DONE, "", answer.body)
         if self.settled:
             return []
         if answer.outcome is RunOutcome.UNKNOWN:
-            return self._give_up(answer.reason)
-        self._ledger.refused(plan.request_id, plan.attempt)
+            return self._fail(answer.reason)
+        self._ledger.release_permit(plan.request_id, plan.attempt)
         self._permitted = False
         self._reason = answer.reason
         self._retry_after_s = max(self._retry_after_s, answer.retry_after_ms / 1000)
@@ -104,40 +104,40 @@
             self._selector.mark_leaving(self._target, now)
         elif answer.reason == Outcome.EJECTED:
             self._selector.mark_ejected(self._target, now)
-        return self._ask_next(now)
+        return self._enqueue_next(now)
 
-    def owner_lost(self, now: float) -> list[ExecutionCommand]:
+    def handle_owner_lost(self, now: float) -> list[ExecutionCommand]:
         """Take that the owner cannot be reached: unknown after a permit, another target before."""
         if self.settled:
             return []
         if self._permitted:
-            return self._give_up("owner_lost")
+            return self._fail("owner_lost")
         self._reason = Outcome.NO_OWNER
-        return self._ask_next(now)
+        return self._enqueue_next(now)
 
     def expire(self) -> list[ExecutionCommand]:
         """Take that the caller's time is up."""
         if self.settled:
             return []
-        withdraw = WithdrawOnce(self._nonce, self._target)
-        return [withdraw, *self._give_up("deadline")]
+        cancel = CancelExecution(self._nonce, self._target)
+        return [cancel, *self._fail("deadline")]
 
     @property
     def target(self) -> str:
         """Return the target whose queue the request is in."""
         return self._target
 
-    def _ask_next(self, now: float) -> list[ExecutionCommand]:
+    def _enqueue_next(self, now: float) -> list[ExecutionCommand]:
         target = self._selector.choose(self.plan.targets, self._tried, now)
         if target is None or now >= self.plan.deadline:
-            return self._give_up(self._reason)
+            return self._fail(self._reason)
         self._nonce += 1
         self._target = target
         self._tried.add(target)
-        return [AskOnce(self._nonce, target)]
+        return [EnqueueExecution(self._nonce, target)]
 
-    def _give_up(self, reason: str) -> list[ExecutionCommand]:
-        outcome = self._ledger.give_up(self.plan.request_id, self.plan.attempt)
+    def _fail(self, reason: str) -> list[ExecutionCommand]:
+        outcome = self._ledger.end_attempt(self.plan.request_id, self.plan.attempt)
         return self._settle(outcome, reason, b"")
 
     def _settle(self, outcome: RunOutcome, reason: str, body: bytes) -> list[ExecutionCommand]:
--- a/trackwheel/gateway/execution_runner.py
+++ b/trackwheel/gateway/execution_runner.py
@@ -23,13 +23,13 @@
 from trackwheel.gateway.admission import Admission
 from trackwheel.gateway.errors import CallerError, Code, refuse
 from trackwheel.gateway.execution import (
-    AnswerPermit,
-    AskOnce,
+    CancelExecution,
+    EnqueueExecution,
     Execution,
     ExecutionCommand,
     ExecutionPlan,
+    SendPermitReply,
     Settled,
-    WithdrawOnce,
 )
 from trackwheel.gateway.ledger import Ledger, Verdict
 from trackwheel.gateway.queries import Owners
@@ -43,7 +43,7 @@
 """How long an attempt that was given up still takes the answer of its target."""
 
 
-class OnceRequest(NamedTuple):
+class ExecutionRequest(NamedTuple):
     """Hold a caller's request that may run only once (deadline in seconds)."""
 
     request_id: str
@@ -54,7 +54,7 @@
     deadline_s: float
 
 
-class OnceResult(NamedTuple):
+class ExecutionResult(NamedTuple):
     """Say what is known of the request."""
 
     request_id: str
@@ -70,24 +70,24 @@
     owner: str
 
 
-class _WasSettled(NamedTuple):
+class _AttemptSettled(NamedTuple):
     """Event: the attempt has been settled by a message."""
 
 
 class _Attempt:
     """Hold one attempt that is under way or still takes a late answer."""
 
-    def __init__(self, request: OnceRequest, execution: Execution, trace: Trace) -> None:
+    def __init__(self, request: ExecutionRequest, execution: Execution, trace: Trace) -> None:
         self.request = request
         self.execution = execution
         self.trace = trace
         self.owner_by_nonce: dict[int, str] = {}
-        self.inbox: Inbox[_OwnerLost | _WasSettled] = Inbox()
-        self.settled: OnceResult | None = None
+        self.inbox: Inbox[_OwnerLost | _AttemptSettled] = Inbox()
+        self.settled: ExecutionResult | None = None
         self.changed = anyio.Event()
 
 
-class OnceRunner:
+class ExecutionRunner:
     """Issue ids, run requests once, and remember what came of them."""
 
     def __init__(self, hub: Hub, owners: Owners, selector: TargetSelector, traces: Traces) -> None:
@@ -102,8 +102,8 @@
         self._attempt_by_request_id: dict[str, _Attempt] = {}
         self._late_until_by_query_id: dict[str, float] = {}
         self.count_by_outcome: dict[str, int] = {}
-        hub.register(PermitRequest, self._take_permit_request)
-        hub.register(ExecuteAnswer, self._take_answer)
+        hub.register(PermitRequest, self._handle_permit_request)
+        hub.register(ExecuteAnswer, self._handle_answer)
         hub.on_link_lost(self._link_lost)
 
     @property
@@ -115,73 +115,73 @@
         """Return fresh ids for a group."""
         return self._ledger.issue(group, count, steady_now())
 
-    async def run(self, request: OnceRequest) -> OnceResult:
+    async def run(self, request: ExecutionRequest) -> ExecutionResult:
         """Return the outcome of a request whose id this box issued; raise `CallerError`."""
         content = msgspec.json.encode([request.service.name, request.routing_key, request.body])
         now = steady_now()
         decision = self._ledger.begin(request.request_id, request.group, content, now)
         match decision.verdict:
             case Verdict.START:
-                attempt = self._start(request, decision.attempt, now)
-                return await self._follow(attempt)
+                attempt = self._start_attempt(request, decision.attempt, now)
+                return await self._drive(attempt)
             case Verdict.JOIN:
                 joined = self._attempt_by_request_id.get(request.request_id)
                 if joined is not None:
                     return await self._join(joined, request)
             case Verdict.FINAL:
                 outcome, body = decision.outcome, decision.body
-                return OnceResult(request.request_id, outcome, "repeated", body, 0.0)
-        return _answer_verdict(decision.verdict, request.request_id)
+                return ExecutionResult(request.request_id, outcome, "repeated", body, 0.0)
+        return _result_for_verdict(decision.verdict, request.request_id)
 
-    def _start(self, request: OnceRequest, number: int, now: float) -> _Attempt:
+    def _start_attempt(self, request: ExecutionRequest, number: int, now: float) -> _Attempt:
         query_id = f"{self._hub.identity.boot}-x{next(self._numbers)}"
         instances = request.service.targets_by_instance
-        place = xxhash.xxh64_intdigest(request.routing_key.encode()) % len(instances)
-        targets = tuple(target.address for target in instances[place])
+        instance_index = xxhash.xxh64_intdigest(request.routing_key.encode()) % len(instances)
+        targets = tuple(target.address for target in instances[instance_index])
         deadline = now + request.deadline_s
         plan = ExecutionPlan(query_id, request.request_id, number, targets, deadline)
         trace = self._traces.open(request.request_id, request.service.name, request.group)
         attempt = _Attempt(request, Execution(plan, self._ledger, self._selector), trace)
-        self._forget_late(now)
+        self._evict_late(now)
         self._attempt_by_query_id[query_id] = attempt
         self._attempt_by_request_id[request.request_id] = attempt
         return attempt
 
-    async def _follow(self, attempt: _Attempt) -> OnceResult:
+    async def _drive(self, attempt: _Attempt) -> ExecutionResult:
         """Drive an attempt until it is settled; a caller that goes away does not end it."""
         with anyio.CancelScope(shield=True):
-            self._perform(attempt, attempt.execution.start(steady_now()))
+            self._apply(attempt, attempt.execution.start(steady_now()))
             while attempt.settled is None:
                 events = await attempt.inbox.take(attempt.execution.plan.deadline)
                 for event in events:
                     if isinstance(event, _OwnerLost):
-                        self._take_lost_owner(attempt, event.owner)
+                        self._handle_lost_owner(attempt, event.owner)
                 if not events:
-                    self._perform(attempt, attempt.execution.expire())
+                    self._apply(attempt, attempt.execution.expire())
         assert attempt.settled is not None, "the loop ends when the attempt is settled"
         return attempt.settled
 
-    async def _join(self, attempt: _Attempt, request: OnceRequest) -> OnceResult:
+    async def _join(self, attempt: _Attempt, request: ExecutionRequest) -> ExecutionResult:
         """Wait for the attempt that another exchange of the same request drives."""
         with anyio.move_on_after(request.deadline_s):
             while attempt.settled is None:
                 await attempt.changed.wait()
         if attempt.settled is not None:
             return attempt.settled
-        return OnceResult(request.request_id, RunOutcome.UNKNOWN, "under_way", b"", 0.1)
+        return ExecutionResult(request.request_id, RunOutcome.UNKNOWN, "under_way", b"", 0.1)
 
-    def _perform(self, attempt: _Attempt, commands: list[ExecutionCommand]) -> None:
+    def _apply(self, attempt: _Attempt, commands: list[ExecutionCommand]) -> None:
         execution = attempt.execution
         query_id = execution.plan.query_id
         for command in commands:
             match command:
-                case AskOnce(nonce, target):
-                    self._ask(attempt, nonce, target)
-                case WithdrawOnce(nonce, target):
+                case EnqueueExecution(nonce, target):
+                    self._enqueue(attempt, nonce, target)
+                case CancelExecution(nonce, target):
                     owner = attempt.owner_by_nonce.get(nonce, "")
                     if owner:
                         self._hub.send(owner, Withdraw(query_id, [Ask(nonce, target, False)]))
-                case AnswerPermit(nonce, target, granted):
+                case SendPermitReply(nonce, target, granted):
                     owner = attempt.owner_by_nonce.get(nonce, "")
                     attempt.trace.note("permit", -1, target, owner, str(granted))
                     if owner:
@@ -189,7 +189,7 @@
                 case Settled():
                     self._settle(attempt, command)
 
-    def _ask(self, attempt: _Attempt, nonce: int, target: str) -> None:
+    def _enqueue(self, attempt: _Attempt, nonce: int, target: str) -> None:
         request, plan = attempt.request, attempt.execution.plan
         member = self._owners.owner(request.service, target)
         owner = member.address if member is not None else ""
@@ -217,16 +217,16 @@
         retry_s = 0.0
         if outcome is RunOutcome.NOT_RUN:
             retry_s = self._admission.retry_after(settled.retry_after_s)
-        attempt.settled = OnceResult(
+        attempt.settled = ExecutionResult(
             request.request_id, outcome, settled.reason, settled.body, retry_s
         )
         del self._attempt_by_request_id[request.request_id]
         query_id = attempt.execution.plan.query_id
         self._late_until_by_query_id[query_id] = steady_now() + LATE_ANSWER_TIMEOUT_S
         attempt.changed.set()
-        attempt.inbox.put(_WasSettled())
+        attempt.inbox.put(_AttemptSettled())
 
-    def _forget_late(self, now: float) -> None:
+    def _evict_late(self, now: float) -> None:
         """Drop attempts whose late answers nobody waits for any more, the oldest first."""
         while self._late_until_by_query_id:
             query_id, until = next(iter(self._late_until_by_query_id.items()))
@@ -235,7 +235,7 @@
             del self._late_until_by_query_id[query_id]
             self._attempt_by_query_id.pop(query_id, None)
 
-    def _take_permit_request(self, sender: PeerIdentity, request: PermitRequest) -> None:
+    def _handle_permit_request(self, sender: PeerIdentity, request: PermitRequest) -> None:
         """Answer an owner; whoever asks another boot, or for nothing known, is denied."""
         attempt = self._attempt_by_query_id.get(request.query_id)
         owner = attempt.owner_by_nonce.get(request.nonce) if attempt is not None else None
@@ -244,28 +244,28 @@
             denied = PermitReply(request.query_id, request.nonce, request.target, False)
             self._hub.send(sender.address, denied)
             return
-        self._perform(attempt, attempt.execution.permit_requested(request))
+        self._apply(attempt, attempt.execution.handle_permit_request(request))
 
-    def _take_answer(self, sender: PeerIdentity, answer: ExecuteAnswer) -> None:
+    def _handle_answer(self, sender: PeerIdentity, answer: ExecuteAnswer) -> None:
         attempt = self._attempt_by_query_id.get(answer.query_id)
         if attempt is None or attempt.owner_by_nonce.get(answer.nonce) != sender.address:
             return
         attempt.trace.note("end", -1, "", sender.address, f"{answer.outcome} {answer.reason}")
-        self._perform(attempt, attempt.execution.answered(answer, steady_now()))
+        self._apply(attempt, attempt.execution.handle_answer(answer, steady_now()))
 
     def _link_lost(self, address: str) -> None:
         for attempt in self._attempt_by_request_id.values():
             attempt.inbox.put(_OwnerLost(address))
 
-    def _take_lost_owner(self, attempt: _Attempt, owner: str) -> None:
+    def _handle_lost_owner(self, attempt: _Attempt, owner: str) -> None:
         execution = attempt.execution
         nonces = attempt.owner_by_nonce
         current = nonces[max(nonces)] if nonces else ""
         if attempt.settled is None and owner == current:
-            self._perform(attempt, execution.owner_lost(steady_now()))
+            self._apply(attempt, execution.handle_owner_lost(steady_now()))
 
 
-def _answer_verdict(verdict: Verdict, request_id: str) -> OnceResult:
+def _result_for_verdict(verdict: Verdict, request_id: str) -> ExecutionResult:
     """Return or raise what a caller is told when its request is not started."""
     remedy = "Get an id with POST /v1/ids and send it again only with that id"
     if verdict is Verdict.INVALID:
@@ -276,10 +276,10 @@
     if verdict is Verdict.FULL:
         detail = "too many requests are remembered"
         raise refuse(Code.OVERLOADED, "begin", detail, "Come back later", 5.0)
-    return OnceResult(request_id, RunOutcome.UNKNOWN, verdict, b"", 0.0)
+    return ExecutionResult(request_id, RunOutcome.UNKNOWN, verdict, b"", 0.0)
 
 
-def error_of(result: OnceResult) -> CallerError:
+def execution_error(result: ExecutionResult) -> CallerError:
     """Return the error that tells a caller of an outcome other than done."""
     if result.outcome is RunOutcome.NOT_RUN:
         detail = f"the request was not run: {result.reason}"
--- a/trackwheel/gateway/forwarding.py
+++ b/trackwheel/gateway/forwarding.py
@@ -22,17 +22,17 @@
     retry_after_s: float
 
 
-class Boots(Protocol):
+class BootDirectory(Protocol):
     """Find the box that runs a boot."""
 
     def boot_address(self, boot: str) -> str | None:
         """Return the address, None when no such boot is known."""
 
 
-Serve = Callable[[Forward], Awaitable[ForwardReply]]
+ForwardHandler = Callable[[Forward], Awaitable[ForwardReply]]
 
 
-class _Waiting:
+class _PendingForward:
     """Hold one exchange with an issuer."""
 
     def __init__(self, address: str) -> None:
@@ -44,15 +44,15 @@
 class Forwarder:
     """Exchange requests with their issuers; no answer from one means that nothing is known."""
 
-    def __init__(self, hub: Hub, boots: Boots) -> None:
+    def __init__(self, hub: Hub, directory: BootDirectory) -> None:
         self._hub = hub
-        self._boots = boots
+        self._directory = directory
         self._numbers = itertools.count(1)
-        self._waiting_by_id: dict[str, _Waiting] = {}
+        self._pending_by_id: dict[str, _PendingForward] = {}
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._serve: Serve | None = None
-        hub.register(Forward, self._take_forward)
-        hub.register(Forwarded, self._take_forwarded)
+        self._handler: ForwardHandler | None = None
+        hub.register(Forward, self._handle_forward)
+        hub.register(Forwarded, self._handle_forwarded)
         hub.on_link_lost(self._link_lost)
 
     def issued_elsewhere(self, request_id: str) -> bool:
@@ -60,50 +60,50 @@
         parsed = parse_id(request_id)
         return parsed is not None and parsed.boot != self._hub.identity.boot
 
-    async def run(self, serve: Serve) -> None:
+    async def run(self, handler: ForwardHandler) -> None:
         """Serve other boxes' forwards until cancelled."""
-        self._serve = serve
+        self._handler = handler
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             await anyio.sleep_forever()
 
-    async def ask_issuer(self, forward: Forward) -> ForwardReply | None:
+    async def forward_to_issuer(self, forward: Forward) -> ForwardReply | None:
         """Return the issuer's answer, None when it is gone or does not answer."""
-        address = self._boots.boot_address(forward.issuer_boot)
+        address = self._directory.boot_address(forward.issuer_boot)
         if address is None:
             return None
         exchange_id = f"{self._hub.identity.boot}-f{next(self._numbers)}"
-        waiting = self._waiting_by_id[exchange_id] = _Waiting(address)
+        pending = self._pending_by_id[exchange_id] = _PendingForward(address)
         try:
             if not self._hub.send(address, forward._replace(exchange_id=exchange_id)):
                 return None
             wait_s = min(FORWARD_TIMEOUT_S, forward.deadline_ms / 1000 + 0.25)
             with anyio.move_on_after(wait_s):
-                await waiting.ended.wait()
-            return waiting.reply
+                await pending.ended.wait()
+            return pending.reply
         finally:
-            del self._waiting_by_id[exchange_id]
+            del self._pending_by_id[exchange_id]
 
-    def _take_forward(self, sender: PeerIdentity, forward: Forward) -> None:
+    def _handle_forward(self, sender: PeerIdentity, forward: Forward) -> None:
         if self._tasks is not None and forward.issuer_boot == self._hub.identity.boot:
             self._tasks.start_soon(self._answer, sender.address, forward)
 
     async def _answer(self, address: str, forward: Forward) -> None:
-        assert self._serve is not None, "the forwarder is running"
-        reply = await self._serve(forward)
+        assert self._handler is not None, "the forwarder is running"
+        reply = await self._handler(forward)
         retry_ms = reply.retry_after_s * 1000
         message = Forwarded(forward.exchange_id, reply.status, reply.payload, retry_ms)
         self._hub.send(address, message)
 
-    def _take_forwarded(self, sender: PeerIdentity, message: Forwarded) -> None:
-        waiting = self._waiting_by_id.get(message.exchange_id)
-        if waiting is None or waiting.address != sender.address:
+    def _handle_forwarded(self, sender: PeerIdentity, message: Forwarded) -> None:
+        pending = self._pending_by_id.get(message.exchange_id)
+        if pending is None or pending.address != sender.address:
             return
         retry_s = message.retry_after_ms / 1000
-        waiting.reply = ForwardReply(message.status, message.payload, retry_s)
-        waiting.ended.set()
+        pending.reply = ForwardReply(message.status, message.payload, retry_s)
+        pending.ended.set()
 
     def _link_lost(self, address: str) -> None:
-        for waiting in self._waiting_by_id.values():
-            if waiting.address == address:
-                waiting.ended.set()
+        for pending in self._pending_by_id.values():
+            if pending.address == address:
+                pending.ended.set()
--- a/trackwheel/gateway/http.py
+++ b/trackwheel/gateway/http.py
@@ -24,7 +24,7 @@
     PATH_QUERY,
 )
 from trackwheel.gateway.errors import CallerError, Code, refuse
-from trackwheel.gateway.execution_runner import OnceRequest, OnceResult, OnceRunner
+from trackwheel.gateway.execution_runner import ExecutionRequest, ExecutionResult, ExecutionRunner
 from trackwheel.gateway.forwarding import Forwarder, ForwardReply
 from trackwheel.gateway.ledger import parse_id
 from trackwheel.gateway.models import Forward
@@ -34,7 +34,7 @@
     coverage_fields,
     digest_response,
     error_response,
-    once_response,
+    execution_response,
     retry_headers,
 )
 from trackwheel.telemetry.burn import Burn
@@ -54,14 +54,14 @@
         in_force: Callable[[], InForce],
         ready: Callable[[], bool],
         queries: QueryRunner,
-        once: OnceRunner,
+        executions: ExecutionRunner,
         forwarder: Forwarder,
         burn: Burn,
     ) -> None:
         self._in_force = in_force
         self._ready = ready
         self._queries = queries
-        self._once = once
+        self._executions = executions
         self._forwarder = forwarder
         self._burn = burn
 
@@ -143,7 +143,7 @@
         if not 1 <= body.count <= MAX_IDS_PER_REQUEST:
             detail = f"count lies between 1 and {MAX_IDS_PER_REQUEST}"
             raise refuse(Code.BAD_REQUEST, "read", detail, "Ask for fewer ids at a time")
-        ids = self._once.issue(group.name, body.count)
+        ids = self._executions.issue(group.name, body.count)
         return digest_response(msgspec.json.encode({"ids": ids, "end": True}), {})
 
     async def _execute(self, request: Request, group: GroupSpec) -> Response:
@@ -154,30 +154,34 @@
             raise refuse(Code.ID_MISSING, "admit", detail, remedy)
         service = self._service(group, body.service)
         policy = _shortened(self._in_force().policy(group.name, service), body.deadline_ms)
-        wanted = OnceRequest(body.id, group.name, service, body.key, body.body, policy.wait_s)
+        execution = ExecutionRequest(
+            body.id, group.name, service, body.key, body.body, policy.wait_s
+        )
         if self._forwarder.issued_elsewhere(body.id):
-            return await self._forwarded(wanted)
-        result = await self._once.run(wanted)
-        return once_response(result)
+            return await self._forwarded(execution)
+        result = await self._executions.run(execution)
+        return execution_response(result)
 
-    async def _forwarded(self, wanted: OnceRequest) -> Response:
+    async def _forwarded(self, execution: ExecutionRequest) -> Response:
         """Answer with what the box says that issued the id."""
-        parsed = parse_id(wanted.request_id)
+        parsed = parse_id(execution.request_id)
         assert parsed is not None, "the id was parsed before"
         forward = Forward(
             exchange_id="",
             issuer_boot=parsed.boot,
-            request_id=wanted.request_id,
-            service=wanted.service.name,
-            group=wanted.group,
-            routing_key=wanted.routing_key,
-            body=wanted.body,
-            deadline_ms=wanted.deadline_s * 1000,
+            request_id=execution.request_id,
+            service=execution.service.name,
+            group=execution.group,
+            routing_key=execution.routing_key,
+            body=execution.body,
+            deadline_ms=execution.deadline_s * 1000,
         )
-        reply = await self._forwarder.ask_issuer(forward)
+        reply = await self._forwarder.forward_to_issuer(forward)
         if reply is None:
-            result = OnceResult(wanted.request_id, RunOutcome.UNKNOWN, "issuer_gone", b"", 0.0)
-            return once_response(result)
+            result = ExecutionResult(
+                execution.request_id, RunOutcome.UNKNOWN, "issuer_gone", b"", 0.0
+            )
+            return execution_response(result)
         headers = retry_headers(reply.retry_after_s)
         return digest_response(reply.payload, headers, reply.status)
 
@@ -188,7 +192,7 @@
             if service is None:
                 detail = f"service `{forward.service}` is not declared"
                 raise refuse(Code.UNKNOWN_SERVICE, "admit", detail, "Correct its name")
-            wanted = OnceRequest(
+            execution = ExecutionRequest(
                 forward.request_id,
                 forward.group,
                 service,
@@ -196,7 +200,7 @@
                 forward.body,
                 forward.deadline_ms / 1000,
             )
-            response = once_response(await self._once.run(wanted))
+            response = execution_response(await self._executions.run(execution))
         except CallerError as error:
             response = error_response(error)
         retry_ms = response.headers.get(HEADER_RETRY_AFTER_MS, "0")
--- a/trackwheel/gateway/ledger.py
+++ b/trackwheel/gateway/ledger.py
@@ -62,12 +62,12 @@
         self.body = b""
 
 
-def parse_id(text: str) -> RequestId | None:
+def parse_id(request_id: str) -> RequestId | None:
     """Return the parts of an id, None when it is not one."""
-    parts = text.split("-")
+    parts = request_id.split("-")
     if len(parts) != _ID_PARTS or not parts[1].isdigit() or not parts[2].isdigit():
         return None
-    if len(text) > 120:
+    if len(request_id) > 120:
         return None
     return RequestId(parts[0], int(parts[1]), int(parts[2]), parts[3])
 
@@ -87,8 +87,8 @@
         ids = []
         for _ in range(count):
             self._number += 1
-            stem = f"{self._boot}-{issued_ms}-{self._number}"
-            ids.append(f"{stem}-{self._mac(stem, group)}")
+            unsigned_id = f"{self._boot}-{issued_ms}-{self._number}"
+            ids.append(f"{unsigned_id}-{self._mac(unsigned_id, group)}")
         return ids
 
     def begin(self, request_id: str, group: str, content: bytes, now: float) -> Decision:
@@ -98,10 +98,10 @@
             return Decision(Verdict.INVALID)
         if parsed.boot != self._boot:
             return Decision(Verdict.ELSEWHERE)
-        stem = request_id.rpartition("-")[0]
-        if not hmac.compare_digest(parsed.mac, self._mac(stem, group)):
+        unsigned_id = request_id.rpartition("-")[0]
+        if not hmac.compare_digest(parsed.mac, self._mac(unsigned_id, group)):
             return Decision(Verdict.INVALID)
-        self._forget(now)
+        self._evict_expired(now)
         digest = hashlib.sha256(content).digest()
         record = self._record_by_id.get(request_id)
         if record is None:
@@ -114,7 +114,7 @@
             return Decision(Verdict.FINAL, record.attempt, record.outcome, record.body)
         return self._start(record)
 
-    def permit(self, request_id: str, attempt: int) -> bool:
+    def grant_permit(self, request_id: str, attempt: int) -> bool:
         """Grant a permit to a running attempt, once; the request may run from now on."""
         record = self._record_by_id.get(request_id)
         if record is None or not record.running or record.attempt != attempt:
@@ -124,13 +124,13 @@
         record.permitted = True
         return True
 
-    def refused(self, request_id: str, attempt: int) -> None:
+    def release_permit(self, request_id: str, attempt: int) -> None:
         """Take back a permit whose target certainly did not run the request."""
         record = self._record_by_id.get(request_id)
         if record is not None and record.attempt == attempt and record.running:
             record.permitted = False
 
-    def give_up(self, request_id: str, attempt: int) -> RunOutcome:
+    def end_attempt(self, request_id: str, attempt: int) -> RunOutcome:
         """End an attempt; it was not run exactly when no permit is out."""
         record = self._record_by_id.get(request_id)
         if record is None or record.attempt != attempt:
@@ -141,7 +141,7 @@
             return record.outcome
         return RunOutcome.NOT_RUN
 
-    def done(self, request_id: str, attempt: int, body: bytes) -> None:
+    def record_done(self, request_id: str, attempt: int, body: bytes) -> None:
         """Take that a permitted attempt ran, also when this is learnt late."""
         record = self._record_by_id.get(request_id)
         if record is None or record.attempt != attempt or not record.permitted:
@@ -167,7 +167,7 @@
         record.permitted = False
         return Decision(Verdict.START, record.attempt)
 
-    def _forget(self, now: float) -> None:
+    def _evict_expired(self, now: float) -> None:
         """Drop the oldest records whose ids nobody may start any more."""
         while self._record_by_id:
             request_id, record = next(iter(self._record_by_id.items()))
@@ -178,6 +178,6 @@
                 return
             del self._record_by_id[request_id]
 
-    def _mac(self, stem: str, group: str) -> str:
-        proof = hmac.new(self._secret, f"{stem}|{group}".encode(), hashlib.sha256)
-        return proof.hexdigest()[:_MAC_DIGITS]
+    def _mac(self, unsigned_id: str, group: str) -> str:
+        digest = hmac.new(self._secret, f"{unsigned_id}|{group}".encode(), hashlib.sha256)
+        return digest.hexdigest()[:_MAC_DIGITS]
--- a/trackwheel/gateway/queries.py
+++ b/trackwheel/gateway/queries.py
@@ -206,7 +206,7 @@
         gather = running.gather
         commands = gather.start(steady_now())
         while True:
-            end = self._execute(running, commands, query)
+            end = self._apply(running, commands, query)
             if end is not None:
                 return end
             events = await running.inbox.take(gather.next_wake())
@@ -216,7 +216,7 @@
                 commands += gather.handle_result(event, now)
             commands += gather.tick(now)
 
-    def _execute(
+    def _apply(
         self, running: _RunningQuery, commands: list[GatherCommand], query: str
     ) -> QueryAnswered | QueryFailed | None:
         end: QueryAnswered | QueryFailed | None = None
--- a/trackwheel/gateway/responses.py
+++ b/trackwheel/gateway/responses.py
@@ -11,7 +11,7 @@
 from trackwheel.errors import Problem
 from trackwheel.gateway.const import HEADER_DIGEST, HEADER_RETRY_AFTER_MS
 from trackwheel.gateway.errors import CallerError, Code
-from trackwheel.gateway.execution_runner import OnceResult, error_of
+from trackwheel.gateway.execution_runner import ExecutionResult, execution_error
 from trackwheel.gateway.models import Answer
 from trackwheel.gateway.queries import QueryResult
 
@@ -55,11 +55,11 @@
     ]
 
 
-def once_response(result: OnceResult) -> Response:
+def execution_response(result: ExecutionResult) -> Response:
     """Return the response for a request that may run only once."""
     if result.outcome is not RunOutcome.DONE:
         extra = {"id": result.request_id, "outcome": result.outcome}
-        return error_response(error_of(result), extra)
+        return error_response(execution_error(result), extra)
     body = msgspec.json.encode(
         {
             "id": result.request_id,
--- a/trackwheel/telemetry/samples.py
+++ b/trackwheel/telemetry/samples.py
@@ -6,7 +6,7 @@
 from trackwheel.dispatch.service import DispatchService
 from trackwheel.files.service import FilesService
 from trackwheel.fleet.service import FleetService
-from trackwheel.gateway.execution_runner import OnceRunner
+from trackwheel.gateway.execution_runner import ExecutionRunner
 from trackwheel.gateway.queries import QueryRunner
 from trackwheel.peers.hub import Hub
 from trackwheel.storage.clients import HttpKeyValue
@@ -22,7 +22,7 @@
     files: FilesService
     store: HttpKeyValue
     queries: QueryRunner
-    once: OnceRunner
+    once: ExecutionRunner
     dispatch: DispatchService
     burn: Burn
 
