--- a/trackwheel/gateway/__init__.py
+++ b/trackwheel/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side: admit, plan, scatter, gather, and answer truly."""
+"""The API for callers: admission, scatter-gather queries and at-most-once requests."""
--- a/trackwheel/gateway/bodies.py
+++ b/trackwheel/gateway/bodies.py
@@ -1,4 +1,4 @@
-"""The bodies of callers' requests, read within the limits of size and time."""
+"""Request bodies, read and validated within limits of size and time."""
 
 from typing import TypeVar
 
@@ -13,7 +13,7 @@
 
 
 class QueryBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Read the body of a query; the deadline may only shorten the policy's."""
+    """Body of a query; the deadline can only shorten the one of the policy."""
 
     service: str
     query: str = ""
@@ -21,7 +21,7 @@
 
 
 class ExecuteBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Read the body of a request that may run only once."""
+    """Body of an at-most-once request."""
 
     service: str
     key: str
@@ -31,23 +31,25 @@
 
 
 class IdsBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Read how many ids are wanted."""
+    """Body of a request for new ids."""
 
     count: int = 1
 
 
 async def read_body(request: Request, body_type: type[T]) -> T:
-    """Return the body of a request, read within the limits of size and time."""
+    """Read and decode a request body; raise `CallerError` if it is late, too large or invalid."""
     try:
         with anyio.fail_after(READ_TIMEOUT_S):
             content = await _read_bytes(request)
     except TimeoutError as error:
-        detail = f"the body did not come within {READ_TIMEOUT_S:.0f} s"
-        raise refuse(Code.BAD_REQUEST, "read", detail, "Send the whole body at once") from error
+        detail = f"request body not received within {READ_TIMEOUT_S:.0f} s"
+        raise refuse(
+            Code.BAD_REQUEST, "read", detail, "Send the complete body without delay"
+        ) from error
     try:
         return msgspec.json.decode(content, type=body_type)
     except (msgspec.DecodeError, RecursionError) as error:
-        remedy = "Send JSON as docs/CALLERS.md describes it"
+        remedy = "Send JSON as described in docs/CALLERS.md"
         raise refuse(Code.BAD_REQUEST, "read", str(error), remedy) from error
 
 
@@ -57,7 +59,7 @@
     async for part in request.stream():
         size += len(part)
         if size > MAX_REQUEST_BYTES:
-            detail = f"the body has more than {MAX_REQUEST_BYTES} bytes"
+            detail = f"request body exceeds {MAX_REQUEST_BYTES} bytes"
             raise refuse(Code.TOO_LARGE, "read", detail, "Send a smaller request")
         parts.append(part)
     return b"".join(parts)
--- a/trackwheel/gateway/errors.py
+++ b/trackwheel/gateway/errors.py
@@ -1,4 +1,4 @@
-"""Errors that callers see; docs/CALLERS.md lists the codes."""
+"""Errors that are returned to callers; docs/CALLERS.md lists the codes."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Code(StrEnum):
-    """Name every reason for which a caller gets no answer."""
+    """Error codes for requests that get no answer."""
 
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
@@ -26,7 +26,7 @@
 
 
 class CallerError(TrackwheelError):
-    """Carry a refusal to the caller (seconds until it may come back; 0 for no advice)."""
+    """Error that is returned to the caller (seconds until a retry; 0 for no advice)."""
 
     def __init__(self, problem: Problem, retry_after_s: float = 0.0) -> None:
         super().__init__(problem)
@@ -36,5 +36,5 @@
 def refuse(
     code: Code, step: str, detail: str, remedy: str, retry_after_s: float = 0.0
 ) -> CallerError:
-    """Return the error for a refusal by this box."""
+    """Return the error for a request that this box refuses."""
     return CallerError(Problem(code, step, "gateway", detail, remedy), retry_after_s)
--- a/trackwheel/gateway/execution_runner.py
+++ b/trackwheel/gateway/execution_runner.py
@@ -32,7 +32,7 @@
     Settled,
 )
 from trackwheel.gateway.ledger import Ledger, Verdict
-from trackwheel.gateway.queries import Owners
+from trackwheel.gateway.queries import OwnerLookup
 from trackwheel.gateway.target_selector import TargetSelector
 from trackwheel.inbox import Inbox
 from trackwheel.peers.hub import Hub
@@ -90,7 +90,9 @@
 class ExecutionRunner:
     """Issue ids, run requests once, and remember what came of them."""
 
-    def __init__(self, hub: Hub, owners: Owners, selector: TargetSelector, traces: Traces) -> None:
+    def __init__(
+        self, hub: Hub, owners: OwnerLookup, selector: TargetSelector, traces: Traces
+    ) -> None:
         self._hub = hub
         self._owners = owners
         self._selector = selector
@@ -275,7 +277,7 @@
         raise refuse(Code.ID_REUSED, "begin", detail, remedy)
     if verdict is Verdict.FULL:
         detail = "too many requests are remembered"
-        raise refuse(Code.OVERLOADED, "begin", detail, "Come back later", 5.0)
+        raise refuse(Code.OVERLOADED, "begin", detail, "Retry later", 5.0)
     return ExecutionResult(request_id, RunOutcome.UNKNOWN, verdict, b"", 0.0)
 
 
--- a/trackwheel/gateway/gather.py
+++ b/trackwheel/gateway/gather.py
@@ -1,4 +1,4 @@
-"""The decisions of one query: whom to ask, when to hedge, what to answer, when to give up."""
+"""State machine of one scatter-gather query: target choice, hedging, retries and completion."""
 
 from typing import Final, NamedTuple
 
@@ -27,11 +27,11 @@
 OTHER_VERSION: Final = "other_version"
 
 _FREE_RETRY = (Outcome.LEAVING, Outcome.UNKNOWN_TARGET, Outcome.NO_OWNER, Outcome.EJECTED)
-"""Outcomes that cost no target anything, so that asking another one is no extra load."""
+"""Outcomes without cost for any target, so that a retry is no extra load."""
 
 
 class _Subrequest(NamedTuple):
-    """Follow one sub-request that is under way."""
+    """A sub-request in flight."""
 
     instance: int
     target: str
@@ -41,7 +41,7 @@
 
 
 class _Instance:
-    """Hold what one query knows of one instance."""
+    """State of one instance within a query."""
 
     __slots__ = ("asks", "ejected", "nonces", "reason", "retry_at", "retry_wait_s", "tried")
 
@@ -50,14 +50,14 @@
         self.nonces: set[int] = set()
         self.tried: set[str] = set()
         self.ejected: set[str] = set()
-        """Targets to which nothing was sent since their owners have ejected them."""
+        """Ejected targets that were not sent anything, since their owners refused."""
         self.reason = "not_answered"
         self.retry_at: float | None = None
         self.retry_wait_s = VERSION_RETRY_MIN_S
 
 
 class Gather:
-    """Decide, from events and the time, how one query goes on."""
+    """Turn events and time into commands for one query; does no I/O."""
 
     def __init__(
         self, plan: QueryPlan, selector: TargetSelector, budget: RetryBudget, now: float
@@ -82,18 +82,18 @@
 
     @property
     def hard_deadline(self) -> float:
-        """Return when the query is over at the latest."""
+        """Return the time at which the query ends at the latest."""
         return self._hard_deadline
 
     def start(self, now: float) -> list[GatherCommand]:
-        """Ask every instance."""
+        """Send a first sub-request to every instance."""
         self._budget.record_first_attempts(len(self._instances))
         for number in range(len(self._instances)):
             self._send_next(number, now, "first")
         return self._advance(now)
 
     def handle_result(self, event: SubrequestResult, now: float) -> list[GatherCommand]:
-        """Take the end of a sub-request; one that is not under way is passed over."""
+        """Process the result of a sub-request; ignore results of unknown or cancelled ones."""
         subrequest = self._subrequest_by_nonce.pop(event.nonce, None)
         if subrequest is None or self.ended:
             return []
@@ -110,7 +110,7 @@
         return self._advance(now)
 
     def tick(self, now: float) -> list[GatherCommand]:
-        """Hedge, ask again or end, whatever is due."""
+        """Send due hedges and retries, and end the query if it is due."""
         if self.ended:
             return []
         for nonce, subrequest in list(self._subrequest_by_nonce.items()):
@@ -123,14 +123,14 @@
         return self._advance(now)
 
     def cancel(self) -> None:
-        """Forget the query of a caller that has gone."""
+        """End the query after its caller has disconnected."""
         self.ended = True
         for subrequest in self._subrequest_by_nonce.values():
             self._selector.subrequest_ended(subrequest.target)
         self._subrequest_by_nonce.clear()
 
     def next_wake(self) -> float:
-        """Return when `tick` is next needed (seconds)."""
+        """Return the time of the next `tick` (seconds)."""
         times = [self._deadline if not self._past_deadline else self._hard_deadline]
         times.extend(subrequest.hedge_at for subrequest in self._subrequest_by_nonce.values())
         retries = (instance.retry_at for instance in self._instances)
@@ -161,7 +161,7 @@
             self._await_version(subrequest.instance, now)
 
     def _reselect_version(self, now: float) -> bool:
-        """Choose the version anew and ask whoever has not answered at it."""
+        """Reselect the version and resend to the instances that have not answered at it."""
         changed = self._version_selector.reselect(self._collected)
         version = self._version_selector.version
         if changed:
@@ -178,11 +178,11 @@
         return changed
 
     def _exhausted_by_failure(self, number: int) -> bool:
-        """Return whether an instance is exhausted for another reason than its version."""
+        """Return whether an instance is exhausted for a reason other than its version."""
         return number in self._exhausted and self._instances[number].reason != OTHER_VERSION
 
     def _cancel_other_versions(self, version: int | None) -> None:
-        """Take back what asks for a version that will not be answered from."""
+        """Cancel sub-requests for versions other than the selected one."""
         for nonce, subrequest in list(self._subrequest_by_nonce.items()):
             if subrequest.version not in (None, version):
                 del self._subrequest_by_nonce[nonce]
@@ -190,7 +190,7 @@
                 self._cancel(nonce, subrequest.target)
 
     def _answered_other_version(self, number: int) -> bool:
-        """Return whether an instance has answered, but at another version, and is not due."""
+        """Return whether an instance answered only at another version and has no retry pending."""
         instance = self._instances[number]
         if instance.retry_at is not None or number in self._exhausted:
             return False
@@ -198,7 +198,7 @@
         return any(number in self._collected.instances_at(version) for version in versions)
 
     def _resend_at_version(self, number: int, now: float) -> None:
-        """Ask an instance for the chosen version, at a target that may hold it."""
+        """Resend to an instance, preferring targets that may hold the selected version."""
         targets = self.plan.targets_by_instance[number]
         without_version = self._targets_without_version(number)
         available = self._selector.choose(targets, without_version, now) is not None
@@ -206,7 +206,7 @@
         self._retry(number, now, mandatory=True)
 
     def _targets_without_version(self, number: int) -> set[str]:
-        """Return the targets of an instance that do not hold the chosen version yet."""
+        """Return the targets of an instance that do not hold the selected version yet."""
         version = self._version_selector.version
         targets = self.plan.targets_by_instance[number]
         return {
@@ -214,7 +214,7 @@
         }
 
     def _await_version(self, number: int, now: float) -> None:
-        """Ask again soon: the version is on its way to the instance, or another target has it."""
+        """Resend to another target that may hold the version, else retry after a back-off."""
         targets = self.plan.targets_by_instance[number]
         if self._selector.choose(targets, self._targets_without_version(number), now) is not None:
             self._resend_at_version(number, now)
@@ -227,7 +227,7 @@
         instance.retry_wait_s = min(VERSION_RETRY_MAX_S, instance.retry_wait_s * 2)
 
     def _can_await_version(self, number: int, now: float) -> bool:
-        """Return whether a target that lags may get the chosen version soon."""
+        """Return whether a lagging target may get the selected version soon."""
         lagging = tuple(sorted(self._targets_without_version(number)))
         if self._instances[number].asks >= self._max_attempts(number) + MAX_VERSION_RETRIES:
             return False
@@ -245,14 +245,14 @@
         elif event.outcome in (Outcome.SHED, Outcome.LATE):
             self._shed = True
         elif event.outcome is Outcome.NO_OWNER:
-            # The target was not reached; its next owner may reach it.
+            # The request did not reach the target; the next owner may reach it.
             self._instances[subrequest.instance].tried.discard(subrequest.target)
         self._retry_after_s = max(self._retry_after_s, event.retry_after_s)
         if not self._instances[subrequest.instance].nonces:
             self._retry(subrequest.instance, now, free=event.outcome in _FREE_RETRY)
 
     def _retry(self, number: int, now: float, free: bool = False, mandatory: bool = False) -> None:
-        """Ask an instance's next target, if the budget allows."""
+        """Send to the next target of an instance if the budget allows."""
         instance = self._instances[number]
         most = self._max_attempts(number)
         if instance.reason == OTHER_VERSION:
@@ -272,7 +272,7 @@
         return self._last_resort(number, now) is not None
 
     def _last_resort(self, number: int, now: float) -> str | None:
-        """Return an ejected target that has had no chance to answer this query yet."""
+        """Return the best target that this query has not been sent to, including ejected ones."""
         instance = self._instances[number]
         targets = tuple(
             target
@@ -312,7 +312,7 @@
         self._commands.append(command)
 
     def _hedge(self, nonce: int, subrequest: _Subrequest, now: float) -> None:
-        """Ask another target of the instance as well, once, if the budget allows."""
+        """Send one hedge to another target of the instance if the budget allows."""
         self._subrequest_by_nonce[nonce] = subrequest._replace(hedge_at=float("inf"))
         instance = self._instances[subrequest.instance]
         targets = self.plan.targets_by_instance[subrequest.instance]
@@ -323,7 +323,7 @@
             self._send(subrequest.instance, target, now, False, "hedge")
 
     def _cancel_obsolete(self, number: int, version: int, now: float) -> None:
-        """Take back what is under way to an instance that has answered at a version."""
+        """Cancel other sub-requests to an instance that has answered at a version."""
         nonces = self._instances[number].nonces
         for nonce in sorted(nonces):
             subrequest = self._subrequest_by_nonce[nonce]
@@ -345,7 +345,7 @@
         return commands
 
     def _end_if_due(self, now: float) -> None:
-        """End the query when its answer is whole, its time is up, or nothing more can come."""
+        """End the query if it is complete, out of time, or can make no more progress."""
         snapshot = self._collected.complete_snapshot()
         if snapshot is not None:
             self._end(snapshot, now)
@@ -364,9 +364,9 @@
                 self._end(best, now)
 
     def _coverage_unreachable(self, least: float) -> bool:
-        """Return whether too many instances are exhausted for the least coverage.
+        """Return whether too many instances are exhausted to reach the required coverage.
 
-        While shards move between instances, another instance may hold what one lacks.
+        During a repartition another instance may hold the missing shards.
         """
         if not self._exhausted or self._collected.repartitioned(len(self._instances)):
             return False
@@ -374,7 +374,7 @@
         return bool(lost) and 1 - len(lost) / len(self._instances) < least
 
     def _reason(self, instance: _Instance, now: float) -> str:
-        """Return why an instance lacks an answer when the query ends."""
+        """Return why an instance has no answer at the end of the query."""
         if not instance.nonces:
             return instance.reason
         return "late" if now >= self._deadline else "not_awaited"
--- a/trackwheel/gateway/http.py
+++ b/trackwheel/gateway/http.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface, as docs/CALLERS.md describes it."""
+"""The HTTP API for callers, described in docs/CALLERS.md."""
 
 import hashlib
 from collections.abc import Awaitable, Callable
@@ -47,7 +47,7 @@
 
 
 class CallersApp:
-    """Check callers, run their requests and tell them the truth."""
+    """Authenticate callers and serve their requests."""
 
     def __init__(
         self,
@@ -68,16 +68,16 @@
     def app(self) -> Starlette:
         """Return the ASGI application."""
         routes = [
-            Route(PATH_QUERY, self._guarded(self._query), methods=["POST"]),
-            Route(PATH_IDS, self._guarded(self._ids), methods=["POST"]),
-            Route(PATH_EXECUTE, self._guarded(self._execute), methods=["POST"]),
+            Route(PATH_QUERY, self._endpoint(self._query), methods=["POST"]),
+            Route(PATH_IDS, self._endpoint(self._ids), methods=["POST"]),
+            Route(PATH_EXECUTE, self._endpoint(self._execute), methods=["POST"]),
         ]
         return Starlette(routes=routes, lifespan=no_lifespan)
 
-    def _guarded(
+    def _endpoint(
         self, handler: Callable[[Request, GroupSpec], Awaitable[Response]]
     ) -> Callable[[Request], Awaitable[Response]]:
-        """Return an endpoint that turns every refusal into its response."""
+        """Return an endpoint that turns exceptions into error responses."""
 
         async def endpoint(request: Request) -> Response:
             try:
@@ -87,20 +87,22 @@
             except CallerError as error:
                 return error_response(error)
             except Exception as error:
-                LOG.error(f"A request failed inside. {error!r}")
-                remedy = "Tell your operators"
+                LOG.error(f"Unexpected error while serving a request. {error!r}")
+                remedy = "Report it to your operators"
                 failure = refuse(Code.INTERNAL, "serve", type(error).__name__, remedy)
                 return error_response(failure)
 
         return endpoint
 
     def _group(self, request: Request) -> GroupSpec:
-        """Return the group whose key the caller shows."""
+        """Return the group that the caller's key belongs to."""
         header = request.headers.get("authorization", "")
         key = header.removeprefix(BEARER) if header.startswith(BEARER) else ""
         if not self._ready():
-            remedy = "Come back later or ask another box"
-            raise refuse(Code.NOT_READY, "admit", "no file is in force here yet", remedy, 1.0)
+            remedy = "Retry later or use another box"
+            raise refuse(
+                Code.NOT_READY, "admit", "no configuration has been loaded yet", remedy, 1.0
+            )
         digest = hashlib.sha256(key.encode()).hexdigest()
         group = self._in_force().group_by_key_sha256.get(digest)
         if group is None:
@@ -111,19 +113,19 @@
     def _service(self, group: GroupSpec, name: str) -> ServiceSpec:
         service = self._in_force().service_by_name.get(name)
         if name not in group.services:
-            remedy = "Ask your operators to name the service in your group's file"
-            detail = f"group `{group.name}` may not use service `{name}`"
+            remedy = "Ask your operators to add the service to your group"
+            detail = f"group `{group.name}` is not allowed to use service `{name}`"
             raise refuse(Code.FORBIDDEN, "admit", detail, remedy)
         if service is None:
             detail = f"service `{name}` is not declared"
-            raise refuse(Code.UNKNOWN_SERVICE, "admit", detail, "Correct its name")
+            raise refuse(Code.UNKNOWN_SERVICE, "admit", detail, "Check the service name")
         return service
 
     async def _query(self, request: Request, group: GroupSpec) -> Response:
         body = await read_body(request, QueryBody)
         service = self._service(group, body.service)
         policy = self._in_force().policy(group.name, service)
-        policy = _shortened(policy, body.deadline_ms)
+        policy = _with_deadline(policy, body.deadline_ms)
         started = steady_now()
         outcome = "internal"
         try:
@@ -141,8 +143,8 @@
     async def _ids(self, request: Request, group: GroupSpec) -> Response:
         body = await read_body(request, IdsBody)
         if not 1 <= body.count <= MAX_IDS_PER_REQUEST:
-            detail = f"count lies between 1 and {MAX_IDS_PER_REQUEST}"
-            raise refuse(Code.BAD_REQUEST, "read", detail, "Ask for fewer ids at a time")
+            detail = f"count must be between 1 and {MAX_IDS_PER_REQUEST}"
+            raise refuse(Code.BAD_REQUEST, "read", detail, "Request fewer ids at a time")
         ids = self._executions.issue(group.name, body.count)
         return digest_response(msgspec.json.encode({"ids": ids, "end": True}), {})
 
@@ -150,22 +152,22 @@
         body = await read_body(request, ExecuteBody)
         if body.id is None:
             remedy = "Get ids with POST /v1/ids and send one with each request"
-            detail = "a request that may run only once needs an id"
+            detail = "an at-most-once request needs an id"
             raise refuse(Code.ID_MISSING, "admit", detail, remedy)
         service = self._service(group, body.service)
-        policy = _shortened(self._in_force().policy(group.name, service), body.deadline_ms)
+        policy = _with_deadline(self._in_force().policy(group.name, service), body.deadline_ms)
         execution = ExecutionRequest(
             body.id, group.name, service, body.key, body.body, policy.wait_s
         )
         if self._forwarder.issued_elsewhere(body.id):
-            return await self._forwarded(execution)
+            return await self._forward(execution)
         result = await self._executions.run(execution)
         return execution_response(result)
 
-    async def _forwarded(self, execution: ExecutionRequest) -> Response:
-        """Answer with what the box says that issued the id."""
+    async def _forward(self, execution: ExecutionRequest) -> Response:
+        """Return the response of the box that issued the id."""
         parsed = parse_id(execution.request_id)
-        assert parsed is not None, "the id was parsed before"
+        assert parsed is not None, "the caller has parsed the id"
         forward = Forward(
             exchange_id="",
             issuer_boot=parsed.boot,
@@ -186,12 +188,12 @@
         return digest_response(reply.payload, headers, reply.status)
 
     async def serve_forward(self, forward: Forward) -> ForwardReply:
-        """Answer another box for a request whose id this box issued."""
+        """Serve a request that another box forwarded because this box issued its id."""
         service = self._in_force().service_by_name.get(forward.service)
         try:
             if service is None:
                 detail = f"service `{forward.service}` is not declared"
-                raise refuse(Code.UNKNOWN_SERVICE, "admit", detail, "Correct its name")
+                raise refuse(Code.UNKNOWN_SERVICE, "admit", detail, "Check the service name")
             execution = ExecutionRequest(
                 forward.request_id,
                 forward.group,
@@ -207,13 +209,13 @@
         return ForwardReply(response.status_code, bytes(response.body), float(retry_ms) / 1000)
 
 
-def _shortened(policy: Policy, deadline_ms: float | None) -> Policy:
-    """Return the policy under a caller's own, shorter deadline."""
+def _with_deadline(policy: Policy, deadline_ms: float | None) -> Policy:
+    """Return the policy with its deadlines limited to the caller's own deadline."""
     if deadline_ms is None:
         return policy
     if not 0 < deadline_ms <= MAX_DEADLINE_S * 1000:
-        detail = "deadline_ms must be above zero and at most a minute"
-        raise refuse(Code.BAD_REQUEST, "read", detail, "Correct it")
+        detail = f"deadline_ms must be above zero and at most {MAX_DEADLINE_S * 1000:.0f}"
+        raise refuse(Code.BAD_REQUEST, "read", detail, "Send a valid deadline_ms")
     deadline_s = deadline_ms / 1000
     return policy._replace(
         deadline_s=min(policy.deadline_s, deadline_s), wait_s=min(policy.wait_s, deadline_s)
--- a/trackwheel/gateway/models.py
+++ b/trackwheel/gateway/models.py
@@ -1,4 +1,4 @@
-"""Queries, answers and coverage, and the messages between gateways."""
+"""Query plans, answers and commands, and the messages between gateways."""
 
 from typing import NamedTuple
 
@@ -9,21 +9,21 @@
 
 
 class Snapshot(NamedTuple):
-    """Name one snapshot of a service's index: its version and how many shards its map has."""
+    """A snapshot of a service's index: its version and the number of shards in its map."""
 
     version: int
     map_size: int
 
 
 class MissingShard(NamedTuple):
-    """Name a shard that an answer does not cover, and why."""
+    """A shard that an answer does not cover, and the reason."""
 
     shard: int
     reason: str
 
 
 class Answer(NamedTuple):
-    """Hold a query's answer: the items of the covered shards at one snapshot, and the rest."""
+    """The answer of a query: items of the covered shards at one snapshot, and missing shards."""
 
     snapshot: Snapshot | None
     items_by_shard: dict[int, list[msgspec.Raw]]
@@ -31,7 +31,7 @@
 
     @property
     def coverage(self) -> float:
-        """Return the part of the shards that the answer covers."""
+        """Return the fraction of the shards that the answer covers."""
         total = len(self.items_by_shard) + len(self.missing_shards)
         return len(self.items_by_shard) / total if total else 0.0
 
@@ -42,7 +42,7 @@
 
 
 class QueryPlan(NamedTuple):
-    """Hold what a query needs: targets by instance and the policy it lives under (seconds)."""
+    """Input of a query: targets by instance and the policy with its deadlines."""
 
     query_id: str
     service: str
@@ -53,7 +53,7 @@
 
 
 class SubrequestResult(NamedTuple):
-    """Event: a sub-request ended; `items_by_shard` is there when it ended well (seconds)."""
+    """Event: a sub-request ended; `items_by_shard` is set if it succeeded (seconds)."""
 
     nonce: int
     outcome: Outcome
@@ -64,7 +64,7 @@
 
 
 class SendSubrequest(NamedTuple):
-    """Command: ask a target for its shards at a version."""
+    """Command: request the shards of a target at a version."""
 
     nonce: int
     instance: int
@@ -75,20 +75,20 @@
 
 
 class CancelSubrequest(NamedTuple):
-    """Command: take an ask back."""
+    """Command: cancel a sub-request."""
 
     nonce: int
     target: str
 
 
 class QueryAnswered(NamedTuple):
-    """Command: give the caller this answer."""
+    """Command: return this answer to the caller."""
 
     answer: Answer
 
 
 class QueryFailed(NamedTuple):
-    """Command: tell the caller at once that there will be no answer (seconds)."""
+    """Command: tell the caller that the coverage was not reached (seconds)."""
 
     answer: Answer
     overloaded: bool
@@ -99,7 +99,7 @@
 
 
 class Forward(NamedTuple):
-    """Pass a request that may run only once to the box that issued its id."""
+    """Message: forward an at-most-once request to the box that issued its id."""
 
     exchange_id: str
     issuer_boot: str
@@ -112,7 +112,7 @@
 
 
 class Forwarded(NamedTuple):
-    """Bring back what the issuer knows of the request."""
+    """Message: the issuer's response to a forwarded request."""
 
     exchange_id: str
     status: int
--- a/trackwheel/gateway/queries.py
+++ b/trackwheel/gateway/queries.py
@@ -1,4 +1,4 @@
-"""The task of each query: it carries the gather's commands to owners and brings back answers."""
+"""Runs queries: sends the commands of each gather to the owners and feeds back their answers."""
 
 import itertools
 from collections import Counter, defaultdict
@@ -41,25 +41,25 @@
 LOG = Log("gateway")
 
 
-class Owners(Protocol):
-    """Say which box owns a target, as seen from this one."""
+class OwnerLookup(Protocol):
+    """Look up the owners of targets as known to this box."""
 
     def owner(self, service: ServiceSpec, target: str) -> Member | None:
-        """Return the owner, None when nobody is."""
+        """Return the owner, None if there is none."""
 
     def pass_over(self, address: str) -> None:
-        """Give an unreachable box's targets to others for a while."""
+        """Assign the targets of an unreachable box to others temporarily."""
 
 
 class QueryResult(NamedTuple):
-    """Hold an answer with the query's id."""
+    """An answer with the id of its query."""
 
     query_id: str
     answer: Answer
 
 
 class CoverageTooLowError(CallerError):
-    """Carry what there was when a query was given up."""
+    """Error with the partial result of a query that did not reach its coverage."""
 
     def __init__(self, error: CallerError, result: QueryResult) -> None:
         super().__init__(error.problem, error.retry_after_s)
@@ -67,7 +67,7 @@
 
 
 class _SentSubrequest(NamedTuple):
-    """Remember where an ask went."""
+    """The destination of a sub-request."""
 
     target: str
     owner: str
@@ -75,7 +75,7 @@
 
 
 class _RunningQuery:
-    """Hold one query that is under way."""
+    """A query in progress."""
 
     def __init__(self, gather: Gather, service: ServiceSpec, trace: Trace) -> None:
         self.gather = gather
@@ -93,7 +93,7 @@
     def __init__(
         self,
         hub: Hub,
-        owners: Owners,
+        owners: OwnerLookup,
         selector: TargetSelector,
         traces: Traces,
         quarantine: Quarantine,
@@ -117,7 +117,7 @@
         hub.on_link_lost(self._link_lost)
 
     async def watch_owners(self) -> None:
-        """Ping owners that owe answers and pass over silent ones, until cancelled."""
+        """Ping owners with outstanding sub-requests and bypass silent ones, until cancelled."""
         while True:
             wait_s = self._watch.next_wake() - steady_now()
             if wait_s > 0:
@@ -130,31 +130,33 @@
                     case PingOwner(owner):
                         self._hub.send(owner, Ping(0))
                     case OwnerSilent(owner):
-                        LOG.warning(f"Owner {owner} is silent. Others take its targets.")
+                        LOG.warning(
+                            f"Owner {owner} does not answer pings. Reassigning its targets."
+                        )
                         self._owners.pass_over(owner)
                         self._reassign(owner)
 
     @property
     def running(self) -> int:
-        """Return how many queries are under way."""
+        """Return the number of queries in progress."""
         return len(self._running_by_id)
 
     def budgets(self) -> dict[str, RetryBudget]:
-        """Return the budgets of extra load by service."""
+        """Return the retry budgets by service."""
         return self._budget_by_service
 
     def window_sizes(self) -> dict[tuple[str, str], float]:
-        """Return the size of each group's window at each service."""
+        """Return the size of each concurrency window by group and service."""
         return self._admission.sizes()
 
     async def run(
         self, group: str, service: ServiceSpec, policy: Policy, query: str
     ) -> QueryResult:
-        """Return the answer of one query; raise `CallerError` when there is none."""
+        """Run one query and return its result; raise `CallerError` if it fails."""
         wait_s = self._quarantine.waits_s(query_fingerprint(service.name, query))
         if wait_s > 0.0:
-            detail = "targets end under this query"
-            raise refuse(Code.HELD, "admit", detail, "Come back later", wait_s)
+            detail = "targets crashed while serving this query"
+            raise refuse(Code.HELD, "admit", detail, "Retry later", wait_s)
         now = steady_now()
         query_id = f"{self._hub.identity.boot}-q{next(self._numbers)}"
         trace = self._traces.open(query_id, service.name, group)
@@ -162,8 +164,8 @@
         if not window.try_acquire():
             trace.end("refused: window full")
             retry_s = self._admission.retry_after(window.expected_wait_s())
-            detail = f"group `{group}` has {window.running} queries under way here"
-            raise refuse(Code.OVERLOADED, "admit", detail, "Come back later", retry_s)
+            detail = f"group `{group}` has {window.running} queries in progress on this box"
+            raise refuse(Code.OVERLOADED, "admit", detail, "Retry later", retry_s)
         running = self._begin(query_id, group, service, policy, trace, now)
         try:
             end = await self._drive(running, query)
@@ -202,7 +204,7 @@
         return budget
 
     async def _drive(self, running: _RunningQuery, query: str) -> QueryAnswered | QueryFailed:
-        """Let the gather decide until it ends."""
+        """Feed events to the gather until it ends."""
         gather = running.gather
         commands = gather.start(steady_now())
         while True:
@@ -259,7 +261,7 @@
         subrequests: list[Ask],
         query: str,
     ) -> None:
-        """Send all of a query's asks for one owner in one message."""
+        """Send all sub-requests of a query to one owner in one message."""
         plan = running.gather.plan
         deadline_ms = (running.gather.hard_deadline - steady_now()) * 1000
         message = Scatter(
@@ -274,7 +276,7 @@
             running.inbox.put(_no_owner(subrequest.nonce))
 
     def _handle_answer(self, sender: PeerIdentity, answer: SubAnswer) -> None:
-        """Hand an answer to its query; one that fits no query is dropped and counted."""
+        """Dispatch an answer to its query; drop and count answers that match none."""
         self._watch.heard(sender.address)
         running = self._running_by_id.get(answer.query_id)
         sent = running.sent_by_nonce.get(answer.nonce) if running is not None else None
@@ -292,7 +294,7 @@
         running.inbox.put(event)
 
     def _decode(self, answer: SubAnswer) -> SubrequestResult:
-        """Return the event of an answer; one that is not its own sub-request's has failed."""
+        """Decode an answer; one that belongs to another sub-request counts as failed."""
         retry_s = answer.retry_after_ms / 1000
         held_versions = tuple(answer.holds)
         if answer.outcome is not Outcome.OK:
@@ -309,7 +311,7 @@
         return SubrequestResult(answer.nonce, Outcome.OK, snapshot, read.shards, (), retry_s)
 
     def _reassign(self, silent: str) -> None:
-        """End the asks at a silent owner whose targets have another owner now."""
+        """Fail sub-requests at a silent owner if their targets now have another owner."""
         for running in self._running_by_id.values():
             for nonce, sent in running.sent_by_nonce.items():
                 if sent.owner != silent:
@@ -322,21 +324,21 @@
         return member.address if member is not None else ""
 
     def _link_lost(self, address: str) -> None:
-        """End every ask at an owner that cannot be reached."""
+        """Fail all sub-requests at an unreachable owner."""
         for running in self._running_by_id.values():
             for nonce, sent in running.sent_by_nonce.items():
                 if sent.owner == address:
                     running.inbox.put(_no_owner(nonce))
 
     def _cancel_all(self, running: _RunningQuery) -> None:
-        """Take back everything of a query whose caller has gone."""
+        """Cancel all sub-requests of a query whose caller has disconnected."""
         query_id = running.gather.plan.query_id
         running.trace.end("caller gone")
         running.gather.cancel()
         for nonce, sent in running.sent_by_nonce.items():
             if sent.owner:
-                withdraw = Withdraw(query_id, [Ask(nonce, sent.target, False)])
-                self._hub.send(sent.owner, withdraw)
+                cancel = Withdraw(query_id, [Ask(nonce, sent.target, False)])
+                self._hub.send(sent.owner, cancel)
 
     def _log_failure(self, running: _RunningQuery, end: QueryFailed) -> None:
         budget = self._budget(running.service)
@@ -361,9 +363,9 @@
         self._log_failure(running, end)
         code = Code.OVERLOADED if end.overloaded else Code.COVERAGE_TOO_LOW
         missing_shards = len(end.answer.missing_shards)
-        detail = f"{missing_shards} shards could not be covered in time"
+        detail = f"{missing_shards} shards were not answered in time"
         retry_s = self._admission.retry_after(end.retry_after_s)
-        error = refuse(code, "gather", detail, "Come back later", retry_s)
+        error = refuse(code, "gather", detail, "Retry later", retry_s)
         raise CoverageTooLowError(error, result)
 
 
--- a/trackwheel/gateway/responses.py
+++ b/trackwheel/gateway/responses.py
@@ -1,4 +1,4 @@
-"""What callers get: answers with length and digest, refusals with when to come back."""
+"""HTTP responses: answers with a digest, errors with the delay before a retry."""
 
 import hashlib
 import math
@@ -35,7 +35,7 @@
 
 
 def coverage_fields(result: QueryResult) -> dict[str, Any]:
-    """Return what an answer covers and lacks."""
+    """Return the fields that describe the coverage of an answer."""
     answer = result.answer
     return {
         "id": result.query_id,
@@ -49,14 +49,14 @@
 
 
 def answer_items(answer: Answer) -> list[dict[str, Any]]:
-    """Return the items of an answer, shard by shard."""
+    """Return the items of an answer by shard."""
     return [
         {"shard": shard, "items": items} for shard, items in sorted(answer.items_by_shard.items())
     ]
 
 
 def execution_response(result: ExecutionResult) -> Response:
-    """Return the response for a request that may run only once."""
+    """Return the response to an at-most-once request."""
     if result.outcome is not RunOutcome.DONE:
         extra = {"id": result.request_id, "outcome": result.outcome}
         return error_response(execution_error(result), extra)
@@ -73,7 +73,7 @@
 
 
 def digest_response(payload: bytes, headers: dict[str, str], status: int = 200) -> Response:
-    """Return a response with its length and digest, so that half of it is seen as half."""
+    """Return a response with length and digest, so that callers can detect truncation."""
     digest = hashlib.sha256(payload).hexdigest()
     return Response(
         payload,
@@ -84,7 +84,7 @@
 
 
 def retry_headers(retry_after_s: float) -> dict[str, str]:
-    """Return the headers that say when to come back (seconds); none where that is not known."""
+    """Return the Retry-After headers (seconds); none if the delay is unknown."""
     if retry_after_s <= 0:
         return {}
     return {
@@ -94,12 +94,12 @@
 
 
 def problem_body(problem: Problem) -> dict[str, str]:
-    """Return a failure as callers and operators see it."""
+    """Return a problem as written to callers and operators."""
     return dict(problem._asdict())
 
 
 def error_response(error: CallerError, extra: dict[str, Any] | None = None) -> Response:
-    """Return the response for a refusal, with when to come back."""
+    """Return the response for an error, with the delay before a retry if known."""
     status = STATUS_BY_CODE.get(Code(error.problem.code), 500)
     body: dict[str, Any] = {"error": problem_body(error.problem), **(extra or {}), "end": True}
     if error.retry_after_s > 0:
--- a/trackwheel/gateway/snapshots.py
+++ b/trackwheel/gateway/snapshots.py
@@ -1,4 +1,4 @@
-"""Which snapshot a query answers from: answers are kept by snapshot and never mixed."""
+"""Snapshot consistency: answers are grouped by snapshot and never mixed."""
 
 from collections.abc import Iterable
 from typing import Final, NamedTuple
@@ -8,20 +8,22 @@
 from trackwheel.gateway.models import Answer, MissingShard, Snapshot
 
 MIN_CONFIRMED_LEAD: Final = 2
-"""One target may lag; two instances more that hold a version say that the others have it too."""
+"""Instances by which a version must lead to be switched to.
+
+A lead of one may be a single lagging target; with two, the other instances hold it as well."""
 
 Items = dict[int, list[msgspec.Raw]]
 
 
 class CollectedAnswers:
-    """Keep what has been answered at each snapshot, one answer for each shard."""
+    """Answers received so far by snapshot, one for each shard."""
 
     def __init__(self) -> None:
         self._items_by_snapshot: dict[Snapshot, Items] = {}
         self._instances_by_version: dict[int, set[int]] = {}
 
     def add(self, instance: int, snapshot: Snapshot, items_by_shard: Items) -> None:
-        """Keep an instance's shards at a snapshot; a shard already answered stays as it is."""
+        """Add the shards of an instance at a snapshot; the first answer of a shard is kept."""
         items = self._items_by_snapshot.setdefault(snapshot, {})
         for shard, found in items_by_shard.items():
             if 0 <= shard < snapshot.map_size:
@@ -29,7 +31,7 @@
         self._instances_by_version.setdefault(snapshot.version, set()).add(instance)
 
     def versions(self) -> Iterable[int]:
-        """Return the versions at which anything has been answered."""
+        """Return the versions with at least one answer."""
         return self._instances_by_version
 
     def instances_at(self, version: int | None) -> set[int]:
@@ -39,18 +41,18 @@
         return self._instances_by_version.get(version, set())
 
     def repartitioned(self, instances: int) -> bool:
-        """Return whether any snapshot has another number of shards than there are instances."""
+        """Return whether the shard count of any snapshot differs from the instance count."""
         return any(snapshot.map_size != instances for snapshot in self._items_by_snapshot)
 
     def complete_snapshot(self) -> Snapshot | None:
-        """Return a snapshot of which every shard has been answered."""
+        """Return a snapshot with answers for all shards, None if there is none."""
         for snapshot, items in self._items_by_snapshot.items():
             if len(items) == snapshot.map_size:
                 return snapshot
         return None
 
     def best_snapshot(self) -> Snapshot | None:
-        """Return the snapshot that covers the largest part of its shards, the newest of equals."""
+        """Return the snapshot with the highest coverage, the newest of equals."""
         return max(
             self._items_by_snapshot,
             key=lambda snapshot: (
@@ -63,7 +65,7 @@
     def build_answer(
         self, snapshot: Snapshot | None, reasons: dict[int, str], instances: int
     ) -> Answer:
-        """Return the answer at one snapshot with all that it lacks."""
+        """Return the answer at one snapshot with its missing shards."""
         items = self._items_by_snapshot.get(snapshot, {}) if snapshot else {}
         total = snapshot.map_size if snapshot else instances
         missing = (shard for shard in range(total) if shard not in items)
@@ -74,18 +76,18 @@
 
 
 class _Support(NamedTuple):
-    """Compare versions: how many instances may answer, and how many certainly can."""
+    """Instances that may answer at a version, and those known to hold it; compared in order."""
 
     reachable: int
     confirmed: int
 
 
 class VersionSelector:
-    """Choose the version to ask for: the one that most instances can answer at.
+    """Select the version to request: the one that most instances can answer at.
 
-    An instance has left a version behind when all of its targets hold only newer ones; it can
-    never answer at it. An instance that holds only older ones may still be given it, but only
-    when the version is known to be anywhere: one that was remembered may have been taken back.
+    An instance whose targets all hold only newer versions can no longer answer at a version. One
+    that holds only older versions may still receive it, provided that some target is known to
+    hold it: a remembered version may have been rolled back.
     """
 
     def __init__(self, targets_by_instance: tuple[tuple[str, ...], ...], hint: int | None) -> None:
@@ -94,21 +96,21 @@
         self.version = hint
 
     def update(self, target: str, held: Iterable[int], exact: bool) -> None:
-        """Take which versions a target holds; when exact, it holds no others now."""
+        """Record versions that a target holds; if exact, it holds no others."""
         known = frozenset(held)
         if not exact:
             known |= self._versions_by_target.get(target, frozenset())
         self._versions_by_target[target] = known
 
     def holds(self, target: str, version: int | None) -> bool | None:
-        """Return whether a target holds a version, None when that is not known."""
+        """Return whether a target holds a version, None if unknown."""
         held = self._versions_by_target.get(target)
         if held is None or version is None:
             return None
         return version in held
 
     def reselect(self, collected: CollectedAnswers) -> bool:
-        """Choose anew; return whether another version was chosen."""
+        """Select again; return whether the version changed."""
         candidates = {version for held in self._versions_by_target.values() for version in held}
         candidates.update(collected.versions())
         known = frozenset(candidates)
@@ -132,7 +134,7 @@
         return True
 
     def _worth_switching(self, support_by_version: dict[int, _Support], best_version: int) -> bool:
-        """Return whether a version is so much better that asking anew is worth its load."""
+        """Return whether a version is better by enough to justify the load of resending."""
         if self.version is None:
             return True
         current, other = support_by_version[self.version], support_by_version[best_version]
@@ -141,7 +143,7 @@
         return other.confirmed >= current.confirmed + MIN_CONFIRMED_LEAD
 
     def _count_confirmed(self, version: int, collected: CollectedAnswers) -> int:
-        """Return how many instances have answered at a version or say that they hold it."""
+        """Return how many instances have answered at a version or reported that they hold it."""
         answered = collected.instances_at(version)
         return sum(
             number in answered
