--- a/tests/gateway/test_owner_watch.py
+++ b/tests/gateway/test_owner_watch.py
@@ -32,9 +32,9 @@
     commands: list[WatchCommand] = []
     for now, event in events:
         if event == "asked":
-            watch.asked("o", now)
+            watch.request_sent("o", now)
         elif event == "heard":
-            watch.heard("o")
+            watch.message_received("o")
         else:
             commands += watch.tick(now)
     assert commands == expected
--- a/trackwheel/gateway/execution.py
+++ b/trackwheel/gateway/execution.py
@@ -1,4 +1,4 @@
-"""The decisions of one request that may run only once: which target, which permit, what to say."""
+"""State machine of one attempt at an at-most-once request."""
 
 from typing import NamedTuple
 
@@ -9,21 +9,21 @@
 
 
 class EnqueueExecution(NamedTuple):
-    """Command: put the request in the queue of a target."""
+    """Command: enqueue the request at a target."""
 
     nonce: int
     target: str
 
 
 class CancelExecution(NamedTuple):
-    """Command: take the request out of a queue again."""
+    """Command: remove the request from the queue of a target."""
 
     nonce: int
     target: str
 
 
 class SendPermitReply(NamedTuple):
-    """Command: answer an owner's permit request."""
+    """Command: reply to the permit request of an owner."""
 
     nonce: int
     target: str
@@ -31,7 +31,7 @@
 
 
 class Settled(NamedTuple):
-    """Command: tell the caller the outcome (seconds until it may come back)."""
+    """Command: return the outcome to the caller (seconds until a retry)."""
 
     outcome: RunOutcome
     reason: str
@@ -43,7 +43,7 @@
 
 
 class ExecutionPlan(NamedTuple):
-    """Hold one attempt at one request (deadline on this box's monotonic clock)."""
+    """Input of one attempt at a request (deadline on the monotonic clock of this box)."""
 
     query_id: str
     request_id: str
@@ -53,7 +53,7 @@
 
 
 class Execution:
-    """Decide, from events and the time, how one attempt goes on."""
+    """Turn events and time into commands for one attempt; does no I/O."""
 
     def __init__(self, plan: ExecutionPlan, ledger: Ledger, selector: TargetSelector) -> None:
         self.plan = plan
@@ -68,11 +68,11 @@
         self.settled = False
 
     def start(self, now: float) -> list[ExecutionCommand]:
-        """Ask the first target."""
+        """Enqueue the request at the first target."""
         return self._enqueue_next(now)
 
     def handle_permit_request(self, request: PermitRequest) -> list[ExecutionCommand]:
-        """Grant a permit to the one ask that is under way, deny it to any other."""
+        """Grant a permit to the current target only, deny it to all others."""
         plan = self.plan
         current = request.nonce == self._nonce and request.target == self._target
         granted = (
@@ -85,7 +85,7 @@
         return [SendPermitReply(request.nonce, request.target, granted)]
 
     def handle_answer(self, answer: ExecuteAnswer, now: float) -> list[ExecutionCommand]:
-        """Take the end of an ask; a late `done` is remembered even when the caller has gone."""
+        """Process an answer; a late `done` is recorded even after the attempt is settled."""
         if answer.nonce != self._nonce:
             return []
         plan = self.plan
@@ -107,7 +107,7 @@
         return self._enqueue_next(now)
 
     def handle_owner_lost(self, now: float) -> list[ExecutionCommand]:
-        """Take that the owner cannot be reached: unknown after a permit, another target before."""
+        """Settle as unknown if a permit was granted, else try another target."""
         if self.settled:
             return []
         if self._permitted:
@@ -116,7 +116,7 @@
         return self._enqueue_next(now)
 
     def expire(self) -> list[ExecutionCommand]:
-        """Take that the caller's time is up."""
+        """Settle the attempt at its deadline."""
         if self.settled:
             return []
         cancel = CancelExecution(self._nonce, self._target)
@@ -124,7 +124,7 @@
 
     @property
     def target(self) -> str:
-        """Return the target whose queue the request is in."""
+        """Return the target at which the request was last enqueued."""
         return self._target
 
     def _enqueue_next(self, now: float) -> list[ExecutionCommand]:
--- a/trackwheel/gateway/execution_runner.py
+++ b/trackwheel/gateway/execution_runner.py
@@ -1,4 +1,4 @@
-"""The task of each request that may run only once, at the box that issued its id."""
+"""Runs at-most-once requests on the box that issued their ids."""
 
 import itertools
 import secrets
@@ -40,11 +40,11 @@
 from trackwheel.telemetry.explain import Trace, Traces
 
 LATE_ANSWER_TIMEOUT_S = EXECUTE_TIMEOUT_S + 5.0
-"""How long an attempt that was given up still takes the answer of its target."""
+"""How long a settled attempt still accepts the answer of its target."""
 
 
 class ExecutionRequest(NamedTuple):
-    """Hold a caller's request that may run only once (deadline in seconds)."""
+    """An at-most-once request of a caller (deadline in seconds)."""
 
     request_id: str
     group: str
@@ -55,7 +55,7 @@
 
 
 class ExecutionResult(NamedTuple):
-    """Say what is known of the request."""
+    """The known outcome of a request."""
 
     request_id: str
     outcome: RunOutcome
@@ -65,17 +65,17 @@
 
 
 class _OwnerLost(NamedTuple):
-    """Event: an owner cannot be reached."""
+    """Event: an owner is unreachable."""
 
     owner: str
 
 
 class _AttemptSettled(NamedTuple):
-    """Event: the attempt has been settled by a message."""
+    """Event: a message has settled the attempt."""
 
 
 class _Attempt:
-    """Hold one attempt that is under way or still takes a late answer."""
+    """An attempt that is in progress or still accepts a late answer."""
 
     def __init__(self, request: ExecutionRequest, execution: Execution, trace: Trace) -> None:
         self.request = request
@@ -88,7 +88,7 @@
 
 
 class ExecutionRunner:
-    """Issue ids, run requests once, and remember what came of them."""
+    """Issue ids, run each request at most once and record its outcome."""
 
     def __init__(
         self, hub: Hub, owners: OwnerLookup, selector: TargetSelector, traces: Traces
@@ -110,15 +110,15 @@
 
     @property
     def running(self) -> int:
-        """Return how many attempts are under way."""
+        """Return the number of attempts in progress."""
         return len(self._attempt_by_request_id)
 
     def issue(self, group: str, count: int) -> list[str]:
-        """Return fresh ids for a group."""
+        """Return new ids for a group."""
         return self._ledger.issue(group, count, steady_now())
 
     async def run(self, request: ExecutionRequest) -> ExecutionResult:
-        """Return the outcome of a request whose id this box issued; raise `CallerError`."""
+        """Run or join a request with an id of this box; raise `CallerError` if it is refused."""
         content = msgspec.json.encode([request.service.name, request.routing_key, request.body])
         now = steady_now()
         decision = self._ledger.begin(request.request_id, request.group, content, now)
@@ -150,7 +150,7 @@
         return attempt
 
     async def _drive(self, attempt: _Attempt) -> ExecutionResult:
-        """Drive an attempt until it is settled; a caller that goes away does not end it."""
+        """Drive an attempt until it is settled, even if the caller disconnects."""
         with anyio.CancelScope(shield=True):
             self._apply(attempt, attempt.execution.start(steady_now()))
             while attempt.settled is None:
@@ -160,11 +160,11 @@
                         self._handle_lost_owner(attempt, event.owner)
                 if not events:
                     self._apply(attempt, attempt.execution.expire())
-        assert attempt.settled is not None, "the loop ends when the attempt is settled"
+        assert attempt.settled is not None, "the loop ends only when the attempt is settled"
         return attempt.settled
 
     async def _join(self, attempt: _Attempt, request: ExecutionRequest) -> ExecutionResult:
-        """Wait for the attempt that another exchange of the same request drives."""
+        """Wait for an attempt that another call with the same id drives."""
         with anyio.move_on_after(request.deadline_s):
             while attempt.settled is None:
                 await attempt.changed.wait()
@@ -229,7 +229,7 @@
         attempt.inbox.put(_AttemptSettled())
 
     def _evict_late(self, now: float) -> None:
-        """Drop attempts whose late answers nobody waits for any more, the oldest first."""
+        """Drop settled attempts that no longer accept late answers, oldest first."""
         while self._late_until_by_query_id:
             query_id, until = next(iter(self._late_until_by_query_id.items()))
             if until > now:
@@ -238,7 +238,7 @@
             self._attempt_by_query_id.pop(query_id, None)
 
     def _handle_permit_request(self, sender: PeerIdentity, request: PermitRequest) -> None:
-        """Answer an owner; whoever asks another boot, or for nothing known, is denied."""
+        """Reply to an owner; deny requests for another boot or for unknown sub-requests."""
         attempt = self._attempt_by_query_id.get(request.query_id)
         owner = attempt.owner_by_nonce.get(request.nonce) if attempt is not None else None
         foreign = request.gateway_boot != self._hub.identity.boot or owner != sender.address
@@ -268,25 +268,25 @@
 
 
 def _result_for_verdict(verdict: Verdict, request_id: str) -> ExecutionResult:
-    """Return or raise what a caller is told when its request is not started."""
-    remedy = "Get an id with POST /v1/ids and send it again only with that id"
+    """Return the result, or raise the error, for a request that is not started."""
+    remedy = "Get a new id with POST /v1/ids and use it for this request only"
     if verdict is Verdict.INVALID:
         raise refuse(Code.ID_INVALID, "begin", "the id was not issued to this group", remedy)
     if verdict is Verdict.REUSED:
-        detail = "the id was used for another request"
+        detail = "the id has been used for another request"
         raise refuse(Code.ID_REUSED, "begin", detail, remedy)
     if verdict is Verdict.FULL:
-        detail = "too many requests are remembered"
+        detail = "the ledger has no room for another request"
         raise refuse(Code.OVERLOADED, "begin", detail, "Retry later", 5.0)
     return ExecutionResult(request_id, RunOutcome.UNKNOWN, verdict, b"", 0.0)
 
 
 def execution_error(result: ExecutionResult) -> CallerError:
-    """Return the error that tells a caller of an outcome other than done."""
+    """Return the error for an outcome other than done."""
     if result.outcome is RunOutcome.NOT_RUN:
         detail = f"the request was not run: {result.reason}"
-        remedy = "Send it again with the same id"
+        remedy = "Retry with the same id"
         return refuse(Code.NOT_RUN, "execute", detail, remedy, result.retry_after_s)
     detail = f"it is not known whether the request ran: {result.reason}"
-    remedy = "Ask again with the same id; it is not run twice"
+    remedy = "Retry with the same id; the request is not run twice"
     return refuse(Code.OUTCOME_UNKNOWN, "execute", detail, remedy, result.retry_after_s)
--- a/trackwheel/gateway/forwarding.py
+++ b/trackwheel/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""Passing requests that may run only once to the box that issued their ids."""
+"""Forwards at-most-once requests to the box that issued their ids."""
 
 import itertools
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,7 @@
 
 
 class ForwardReply(NamedTuple):
-    """Hold the issuer's answer as the caller is to see it."""
+    """The response of the issuer, to be returned to the caller."""
 
     status: int
     payload: bytes
@@ -23,17 +23,17 @@
 
 
 class BootDirectory(Protocol):
-    """Find the box that runs a boot."""
+    """Look up the boxes of boots."""
 
     def boot_address(self, boot: str) -> str | None:
-        """Return the address, None when no such boot is known."""
+        """Return the address of the box with a boot, None if unknown."""
 
 
 ForwardHandler = Callable[[Forward], Awaitable[ForwardReply]]
 
 
 class _PendingForward:
-    """Hold one exchange with an issuer."""
+    """A forwarded request that awaits the response of its issuer."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -42,7 +42,10 @@
 
 
 class Forwarder:
-    """Exchange requests with their issuers; no answer from one means that nothing is known."""
+    """Forward requests to their issuers and serve those of other boxes.
+
+    Without a response of the issuer the outcome of a request is unknown.
+    """
 
     def __init__(self, hub: Hub, directory: BootDirectory) -> None:
         self._hub = hub
@@ -56,19 +59,19 @@
         hub.on_link_lost(self._link_lost)
 
     def issued_elsewhere(self, request_id: str) -> bool:
-        """Return whether an id names another boot than this box's."""
+        """Return whether an id was issued by another boot than that of this box."""
         parsed = parse_id(request_id)
         return parsed is not None and parsed.boot != self._hub.identity.boot
 
     async def run(self, handler: ForwardHandler) -> None:
-        """Serve other boxes' forwards until cancelled."""
+        """Serve forwarded requests of other boxes until cancelled."""
         self._handler = handler
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             await anyio.sleep_forever()
 
     async def forward_to_issuer(self, forward: Forward) -> ForwardReply | None:
-        """Return the issuer's answer, None when it is gone or does not answer."""
+        """Return the response of the issuer, None if it is gone or does not respond in time."""
         address = self._directory.boot_address(forward.issuer_boot)
         if address is None:
             return None
--- a/trackwheel/gateway/ledger.py
+++ b/trackwheel/gateway/ledger.py
@@ -1,7 +1,8 @@
-"""The authority over requests that may run only once: their ids, permits and outcomes.
+"""The ledger of at-most-once requests: ids, permits and outcomes.
 
-Only the box that issued an id decides over it, in memory, for as long as it runs; nothing is
-taken over. A permit is granted once for an attempt and never after it was given up.
+Only the box that issued an id decides about it. The ledger is kept in memory and lost with the
+process; no other box takes it over. Each attempt gets at most one live permit, and none after it
+has ended.
 """
 
 import hashlib
@@ -18,7 +19,7 @@
 
 
 class Verdict(StrEnum):
-    """Say what is to be done with a caller's request."""
+    """What to do with a request of a caller."""
 
     START = "start"
     JOIN = "join"
@@ -31,7 +32,7 @@
 
 
 class Decision(NamedTuple):
-    """Hold a verdict with the attempt to start or join, or the outcome that is known."""
+    """A verdict with the attempt to start or join, or the known outcome."""
 
     verdict: Verdict
     attempt: int = 0
@@ -40,7 +41,7 @@
 
 
 class RequestId(NamedTuple):
-    """Take apart a request's id: the issuer's boot, when it was issued, its number, its proof."""
+    """The parts of a request id: boot of the issuer, time of issue, number and MAC."""
 
     boot: str
     issued_ms: int
@@ -49,7 +50,7 @@
 
 
 class _Record:
-    """Follow one request; `permitted` is the attempt that holds the one live permit."""
+    """State of one request; `permitted` is set while its attempt holds a permit."""
 
     __slots__ = ("attempt", "body", "digest", "outcome", "permitted", "running")
 
@@ -63,7 +64,7 @@
 
 
 def parse_id(request_id: str) -> RequestId | None:
-    """Return the parts of an id, None when it is not one."""
+    """Return the parts of an id, None if it is malformed."""
     parts = request_id.split("-")
     if len(parts) != _ID_PARTS or not parts[1].isdigit() or not parts[2].isdigit():
         return None
@@ -73,7 +74,7 @@
 
 
 class Ledger:
-    """Issue ids, grant permits and remember outcomes for one boot of one box."""
+    """Issue ids, grant permits and record outcomes for one boot of one box."""
 
     def __init__(self, boot: str, secret: bytes) -> None:
         self._boot = boot
@@ -82,7 +83,7 @@
         self._record_by_id: OrderedDict[str, _Record] = OrderedDict()
 
     def issue(self, group: str, count: int, now: float) -> list[str]:
-        """Return fresh ids that only this group may use."""
+        """Return new ids that only this group can use."""
         issued_ms = int(now * 1000)
         ids = []
         for _ in range(count):
@@ -92,7 +93,7 @@
         return ids
 
     def begin(self, request_id: str, group: str, content: bytes, now: float) -> Decision:
-        """Decide what to do with a request that a caller sent or repeated."""
+        """Decide whether to start, join or refuse a new or repeated request."""
         parsed = parse_id(request_id)
         if parsed is None:
             return Decision(Verdict.INVALID)
@@ -115,7 +116,7 @@
         return self._start(record)
 
     def grant_permit(self, request_id: str, attempt: int) -> bool:
-        """Grant a permit to a running attempt, once; the request may run from now on."""
+        """Grant the permit of a running attempt, once; the request may run from now on."""
         record = self._record_by_id.get(request_id)
         if record is None or not record.running or record.attempt != attempt:
             return False
@@ -125,13 +126,13 @@
         return True
 
     def release_permit(self, request_id: str, attempt: int) -> None:
-        """Take back a permit whose target certainly did not run the request."""
+        """Release a permit whose target certainly did not run the request."""
         record = self._record_by_id.get(request_id)
         if record is not None and record.attempt == attempt and record.running:
             record.permitted = False
 
     def end_attempt(self, request_id: str, attempt: int) -> RunOutcome:
-        """End an attempt; it was not run exactly when no permit is out."""
+        """End an attempt; the request was not run if and only if no permit is outstanding."""
         record = self._record_by_id.get(request_id)
         if record is None or record.attempt != attempt:
             return RunOutcome.UNKNOWN
@@ -142,7 +143,7 @@
         return RunOutcome.NOT_RUN
 
     def record_done(self, request_id: str, attempt: int, body: bytes) -> None:
-        """Take that a permitted attempt ran, also when this is learnt late."""
+        """Record that a permitted attempt ran, even if the answer is late."""
         record = self._record_by_id.get(request_id)
         if record is None or record.attempt != attempt or not record.permitted:
             return
@@ -154,7 +155,7 @@
         self, request_id: str, parsed: RequestId, digest: bytes, now: float
     ) -> Decision:
         if now * 1000 - parsed.issued_ms > ID_LIFETIME_S * 1000:
-            # Its record may have been forgotten, so nothing certain can be said any more.
+            # Its record may have been evicted, so the outcome is no longer known.
             return Decision(Verdict.EXPIRED)
         if len(self._record_by_id) >= MAX_RECORDS:
             return Decision(Verdict.FULL)
@@ -168,11 +169,11 @@
         return Decision(Verdict.START, record.attempt)
 
     def _evict_expired(self, now: float) -> None:
-        """Drop the oldest records whose ids nobody may start any more."""
+        """Drop the oldest records whose ids have expired."""
         while self._record_by_id:
             request_id, record = next(iter(self._record_by_id.items()))
             parsed = parse_id(request_id)
-            assert parsed is not None, "only sound ids are recorded"
+            assert parsed is not None, "only valid ids are recorded"
             old = now * 1000 - parsed.issued_ms > 2 * ID_LIFETIME_S * 1000
             if not old or record.running:
                 return
--- a/trackwheel/gateway/queries.py
+++ b/trackwheel/gateway/queries.py
@@ -113,7 +113,7 @@
         self._watch_changed = anyio.Event()
         self.foreign_answers = 0
         hub.register(SubAnswer, self._handle_answer)
-        hub.register(Pong, lambda sender, pong: self._watch.heard(sender.address))
+        hub.register(Pong, lambda sender, pong: self._watch.message_received(sender.address))
         hub.on_link_lost(self._link_lost)
 
     async def watch_owners(self) -> None:
@@ -269,7 +269,7 @@
         )
         if owner and self._hub.send(owner, message):
             if owner != self._hub.identity.address:
-                self._watch.asked(owner, steady_now())
+                self._watch.request_sent(owner, steady_now())
                 self._watch_changed.set()
             return
         for subrequest in subrequests:
@@ -277,7 +277,7 @@
 
     def _handle_answer(self, sender: PeerIdentity, answer: SubAnswer) -> None:
         """Dispatch an answer to its query; drop and count answers that match none."""
-        self._watch.heard(sender.address)
+        self._watch.message_received(sender.address)
         running = self._running_by_id.get(answer.query_id)
         sent = running.sent_by_nonce.get(answer.nonce) if running is not None else None
         if running is None or sent is None or sent.owner != sender.address:
