--- a/tests/gateway/test_budget.py
+++ b/tests/gateway/test_budget.py
@@ -34,8 +34,8 @@
     assert budget.try_spend(mandatory=True)
 
 
-def test_hedges_return_soon_after_an_index_has_flipped() -> None:
-    """Hedges are allowed again thirty queries of thirty shards after 2,000 mandatory re-asks."""
+def test_hedges_resume_soon_after_a_version_switch() -> None:
+    """Thirty queries of thirty shards pay off the debt of 2,000 mandatory sub-requests."""
     budget = RetryBudget(0.05)
     assert all(budget.try_spend(mandatory=True) for _ in range(2000))
     assert not budget.try_spend()
--- a/tests/gateway/test_execution.py
+++ b/tests/gateway/test_execution.py
@@ -1,4 +1,4 @@
-"""At most once: the ledger and the execution, in tables and under any order of events."""
+"""At-most-once requests: the ledger and the execution, case by case and in generated orders."""
 
 import pytest
 from hypothesis import given, settings
@@ -81,7 +81,7 @@
     assert (late.verdict, late.outcome, late.body) == (Verdict.FINAL, RunOutcome.DONE, b"late")
 
 
-def test_no_permit_after_giving_up_and_a_repeat_starts_anew() -> None:
+def test_no_permit_after_an_attempt_ended_and_a_repeat_starts_another() -> None:
     ledger = new_ledger()
     request_id = new_id(ledger)
     first = ledger.begin(request_id, "clerks", BODY, 1.0).attempt
@@ -89,12 +89,12 @@
     assert not ledger.grant_permit(request_id, first)
     again = ledger.begin(request_id, "clerks", BODY, 1.0)
     assert again.verdict is Verdict.START
-    assert not ledger.grant_permit(request_id, first), "the old attempt stays without permit"
+    assert not ledger.grant_permit(request_id, first), "the ended attempt gets no permit"
     assert ledger.grant_permit(request_id, again.attempt)
 
 
 class ExecutionSession:
-    """Drive one execution against targets that count what they run."""
+    """Drive one execution and collect its commands."""
 
     def __init__(self, ledger: Ledger, request_id: str, attempt: int, replicas: int = 2) -> None:
         targets = tuple(f"t{number}" for number in range(replicas))
@@ -114,7 +114,7 @@
             elif isinstance(command, SendPermitReply) and command.granted:
                 self.granted.append(command)
             elif isinstance(command, Settled):
-                assert self.settled is None, "told once"
+                assert self.settled is None, "an execution is settled once"
                 self.settled = command
 
     def permit(self, enqueued: EnqueueExecution) -> None:
@@ -164,7 +164,9 @@
         pytest.param(True, "refused", None, id="target-refused-moves-on"),
     ],
 )
-def test_what_the_caller_is_told(permitted: bool, event: str, outcome: RunOutcome | None) -> None:
+def test_outcome_reported_to_the_caller(
+    permitted: bool, event: str, outcome: RunOutcome | None
+) -> None:
     session = new_session()
     first = session.enqueued[0]
     if permitted:
@@ -183,7 +185,7 @@
             session.enqueued
         ) == 2
         session.permit(first)
-        assert len(session.granted) == int(permitted), "the old owner gets no permit any more"
+        assert len(session.granted) == int(permitted), "the previous owner gets no further permit"
         session.permit(session.enqueued[1])
         assert len(session.granted) == int(permitted) + 1
         return
@@ -191,7 +193,7 @@
     assert session.settled.outcome is outcome
     granted = len(session.granted)
     session.permit(first)
-    assert len(session.granted) == granted, "no permit after the caller was told"
+    assert len(session.granted) == granted, "no permit after the outcome was reported"
 
 
 def test_frozen_owner_that_wakes_gets_no_permit() -> None:
@@ -220,8 +222,8 @@
 
 @settings(max_examples=3000, deadline=None, derandomize=True)
 @given(events=st.lists(st.tuples(EVENT, st.integers(0, 5)), max_size=50))
-def test_no_order_of_events_runs_twice_or_lies(events: list[tuple[str, int]]) -> None:
-    """Targets run whatever is permitted, whenever they like; the caller is told the truth."""
+def test_requests_run_at_most_once_for_any_event_order(events: list[tuple[str, int]]) -> None:
+    """In any order of events a request runs at most once, and never if reported as not run."""
     ledger = new_ledger()
     request_id = new_id(ledger)
     runs = 0
@@ -267,8 +269,8 @@
         collect()
         for each in sessions:
             nonces = [permit.nonce for permit in each.granted]
-            assert len(nonces) == len(set(nonces)), "one grant for an ask"
-        assert runs + len(open_permits) <= 1, "never two that ran or may run"
+            assert len(nonces) == len(set(nonces)), "one grant per sub-request"
+        assert runs + len(open_permits) <= 1, "at most one run that has happened or may happen"
         settled = session.settled
         if settled is not None and settled.outcome is RunOutcome.NOT_RUN:
             told_not_run_while_permitted |= runs > 0 or bool(open_permits)
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -1,4 +1,4 @@
-"""The gather: snapshots, coverage, hedges, retries and giving up, in tables of events."""
+"""The gather: snapshots, coverage, hedges, retries and failure, case by case and generated."""
 
 from collections.abc import Iterable
 
@@ -32,7 +32,7 @@
 
 
 class Session:
-    """Drive one gather and remember what it asked for."""
+    """Drive one gather and collect its sub-requests."""
 
     def __init__(
         self,
@@ -130,7 +130,7 @@
     return {msgspec.json.decode(item).split("s")[0] for item in items}
 
 
-def test_whole_answer_ends_at_once() -> None:
+def test_complete_answer_ends_the_query_at_once() -> None:
     session = Session()
     for instance in range(3):
         session.answer(session.subrequest_to(instance))
@@ -147,7 +147,7 @@
     assert list(sorted(session.result.items_by_shard)) == [0, 1, 2]
 
 
-def test_doubled_and_foreign_answers_are_passed_over() -> None:
+def test_duplicate_and_foreign_answers_are_ignored() -> None:
     session = Session()
     first = session.subrequest_to(0)
     session.answer(first)
@@ -155,26 +155,26 @@
     session.answer(first._replace(nonce=99), version=9)
     session.answer(first, shards=(0, 1, 2))
     session.answer(first._replace(nonce=99), shards=(0, 1, 2))
-    assert session.end is None, "nothing of them was taken"
+    assert session.end is None, "none of them was accepted"
     session.answer(session.subrequest_to(1))
     session.answer(session.subrequest_to(2))
     assert session.result.snapshot == Snapshot(1, 3)
 
 
-def test_flip_to_a_new_version_is_never_mixed() -> None:
+def test_versions_are_never_mixed_after_a_switch() -> None:
     session = Session(hint=1)
     session.answer(session.subrequest_to(0))
     session.fail(session.subrequest_to(1), Outcome.WRONG_VERSION, holds=(2,))
     session.fail(session.subrequest_to(1), Outcome.WRONG_VERSION, holds=(2,))
     while session.end is None and session.open:
         subrequest = next(iter(session.open.values()))
-        assert subrequest.version == 2, "everyone is asked at the new version"
+        assert subrequest.version == 2, "all instances are asked at the new version"
         session.answer(subrequest, version=2)
     assert session.result.snapshot == Snapshot(2, 3)
     assert versions_in(session.result) == {"v2"}
 
 
-def test_only_what_differs_is_asked_again() -> None:
+def test_only_instances_at_other_versions_are_asked_again() -> None:
     session = Session(hint=None)
     session.answer(session.subrequest_to(0), version=2)
     session.answer(session.subrequest_to(1), version=1)
@@ -226,7 +226,7 @@
         pytest.param(STRICT, 9, 0.1, True, id="strict-wants-all"),
     ],
 )
-def test_time_against_coverage(
+def test_deadlines_and_coverage(
     policy: Policy, answered: int, ends_at: float, given_up: bool
 ) -> None:
     session = Session(instances=10, replicas=1, policy=policy)
@@ -251,7 +251,7 @@
     assert [missing.shard for missing in session.result.missing_shards] == [9]
 
 
-def test_hedge_after_the_quantile_and_loser_is_withdrawn() -> None:
+def test_slower_sub_request_is_cancelled_after_a_hedge_succeeds() -> None:
     session = Session()
     session.answer(session.subrequest_to(0))
     session.answer(session.subrequest_to(1))
@@ -261,7 +261,7 @@
     assert hedge.target != slow.target
     session.answer(hedge)
     assert session.result.complete
-    assert session.open == {}, "the slow one is withdrawn"
+    assert session.open == {}, "the slow sub-request is cancelled"
     assert session.budget.extras == 1
 
 
@@ -269,7 +269,7 @@
     session = Session(instances=40, budget=1e-9)
     session.tick(0.031)
     hedges = [subrequest for subrequest in session.all_subrequests if subrequest.reason == "hedge"]
-    assert len(hedges) == 10, "what the budget starts with, and no more"
+    assert len(hedges) == 10, "only the initial tokens of the budget"
     assert session.budget.denied > 0
 
 
@@ -285,7 +285,7 @@
     assert session.result.complete
 
 
-def test_lost_replicas_are_given_up_at_once_when_all_is_wanted() -> None:
+def test_query_fails_at_once_when_full_coverage_is_unreachable() -> None:
     session = Session()
     session.fail(session.subrequest_to(1), Outcome.SHED, retry_after_s=0.2)
     session.fail(session.subrequest_to(1), Outcome.SHED, retry_after_s=0.7, at=0.004)
@@ -293,10 +293,10 @@
     assert session.end.overloaded
     assert session.end.retry_after_s == pytest.approx(0.7)
     assert session.now < 0.005, "at once, not near the deadline"
-    assert session.open == {}, "no work is left behind"
+    assert session.open == {}, "no sub-request stays open"
 
 
-def test_lost_replicas_are_listed_when_a_part_is_enough() -> None:
+def test_lost_shard_is_listed_as_missing_when_coverage_suffices() -> None:
     session = Session(policy=QUICK)
     session.fail(session.subrequest_to(1), Outcome.FAILED)
     session.fail(session.subrequest_to(1), Outcome.FAILED)
@@ -318,7 +318,7 @@
 
 
 def test_owner_of_a_leaving_target_is_asked_again_after_a_while() -> None:
-    """Targets come back under load; their owner sees that, not the gateway."""
+    """A target may stop leaving while queries run, and only its owner sees that."""
     selector = TargetSelector(seed=1)
     selector.mark_leaving("t1a", 0.0)
     assert selector.choose(("t1a",), set(), 0.9) is None
@@ -340,7 +340,10 @@
 @pytest.mark.parametrize("told", [False, True], ids=["refused-itself", "refused-another-query"])
 @pytest.mark.parametrize("last", [Outcome.LEAVING, Outcome.FAILED, Outcome.SHED], ids=str)
 def test_ejected_replica_is_asked_when_the_other_one_is_lost(last: Outcome, told: bool) -> None:
-    """Queries were given up beside a target that was ejected, but answered again."""
+    """An ejected target is a last resort when the other replica is lost.
+
+    Queries failed although the ejected target had recovered, since it was not asked.
+    """
     selector = TargetSelector(seed=1)
     if told:
         selector.mark_ejected("t0b", 0.0)
@@ -402,13 +405,13 @@
     hint=st.sampled_from([None, 1, 2]),
     map_growth=st.integers(0, 2),
 )
-def test_no_order_of_events_bends_the_truth(
+def test_answers_are_consistent_for_any_event_order(
     steps: list[tuple[int, Outcome, int, float]],
     policy: Policy,
     hint: int | None,
     map_growth: int,
 ) -> None:
-    """Answer at any version, fail in any way, in any order: never mixed, never hidden."""
+    """Whatever the versions, failures and order: no mixed snapshots, no unlisted missing shards."""
     session = Session(instances=4, policy=policy, hint=hint)
     for pick, outcome, version, wait in steps:
         if session.end is not None:
@@ -426,8 +429,8 @@
     while session.end is None:
         session.tick(max(session.now, session.gather.next_wake()))
     answer = session.result
-    assert session.now <= policy.wait_s + 0.011, "it ends in time"
-    assert session.open == {}, "nothing is left under way"
+    assert session.now <= policy.wait_s + 0.011, "the query ends in time"
+    assert session.open == {}, "no sub-request stays open"
     assert len(versions_in(answer)) <= 1, "one snapshot"
     covered = set(answer.items_by_shard)
     missing_shards = {missing.shard for missing in answer.missing_shards}
@@ -437,7 +440,7 @@
     if isinstance(session.end, QueryAnswered):
         assert answer.coverage >= policy.least_coverage
     most = 4 * (5 + MAX_VERSION_RETRIES)
-    assert len(session.all_subrequests) <= most, "no ask without bound"
+    assert len(session.all_subrequests) <= most, "sub-requests are bounded"
 
 
 @pytest.mark.parametrize("instances", [1, 3])
@@ -457,7 +460,7 @@
 def test_one_replica_that_lags_does_not_move_the_others() -> None:
     session = Session(hint=4)
     session.fail(session.subrequest_to(1), Outcome.WRONG_VERSION, holds=(3,))
-    assert len(session.all_subrequests) == 4, "only its replica is asked"
+    assert len(session.all_subrequests) == 4, "only the other replica is asked"
     for instance in range(3):
         session.answer(session.subrequest_to(instance), version=4)
     assert session.result.complete
@@ -476,7 +479,7 @@
     session.answer(session.subrequest_to(1), version=2)
     assert session.subrequest_to(2).target == "t2b"
     session.fail(session.subrequest_to(2), Outcome.WRONG_VERSION, holds=(1,))
-    assert session.end is None, "t2b gets the version in a moment"
+    assert session.end is None, "t2b may receive the version soon"
     session.tick(0.02)
     session.answer(session.subrequest_to(2), version=2)
     assert session.result.complete
@@ -498,7 +501,7 @@
     session.fail(session.subrequest_to(2), Outcome.WRONG_VERSION, holds=(1,))
     for outcome in outcomes:
         session.fail(session.subrequest_to(2), outcome)
-    assert session.end is None, "the first one gets the version in a moment"
+    assert session.end is None, "the first target may receive the version soon"
     session.tick(0.02)
     session.answer(session.subrequest_to(2), version=2)
     assert session.result.complete
--- a/tests/gateway/test_http.py
+++ b/tests/gateway/test_http.py
@@ -1,4 +1,4 @@
-"""The callers' application by itself: a fault inside is told as one, without its details."""
+"""The HTTP API alone: internal errors are reported without their details."""
 
 import asyncio
 import hashlib
@@ -18,7 +18,7 @@
 
 
 class Broken:
-    """Fail at everything."""
+    """Raise on any attribute access."""
 
     def __getattr__(self, name: str) -> Any:
         raise ZeroDivisionError("details that callers must not see")
--- a/tests/gateway/test_owner_watch.py
+++ b/tests/gateway/test_owner_watch.py
@@ -1,4 +1,4 @@
-"""Silent owners: pinged first, passed over when they do not answer."""
+"""Unresponsive owners are pinged first and bypassed if they do not answer."""
 
 import pytest
 
--- a/tests/gateway/test_target_selector.py
+++ b/tests/gateway/test_target_selector.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("answered", [True, False], ids=["answered", "withdrawn"])
-def test_target_that_paused_once_gets_work_again_soon(answered: bool) -> None:
+def test_target_gets_requests_again_soon_after_a_pause(answered: bool) -> None:
     """After one pause a replica must not go without requests.
 
     It once got none for half a minute, so that its leaving was detected late.
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("slow_s", [0.04, 0.5])
-def test_slower_target_is_left_for_the_other_one(slow_s: float) -> None:
+def test_faster_target_is_preferred(slow_s: float) -> None:
     selector = warm_selector()
     for number in range(10):
         selector.record_latency("s", "a", slow_s, 4.0 + (number + 1) * slow_s)
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_replica_is_left_without_work_for_long_beside_pauses(seed: int) -> None:
+def test_no_replica_goes_long_without_requests_under_pauses(seed: int) -> None:
     """Gaps between requests stay short under pauses.
 
     A leaving target with a wrong health page is detected by its first answer, which took seconds
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -99,7 +99,7 @@
         TRUTH,
         SNAPSHOT,
         "any order of answers, versions, failures and ticks (1,500 generated sessions)",
-        GATHER + "test_no_order_of_events_bends_the_truth",
+        GATHER + "test_answers_are_consistent_for_any_event_order",
         Mutant(
             "trackwheel/gateway/snapshots.py",
             "items = self._items_by_snapshot.setdefault(snapshot, {})",
@@ -177,7 +177,7 @@
         TRUTH,
         OWN,
         "doubled answers and answers of other asks",
-        GATHER + "test_doubled_and_foreign_answers_are_passed_over",
+        GATHER + "test_duplicate_and_foreign_answers_are_ignored",
         Mutant(
             "trackwheel/gateway/gather.py",
             "subrequest = self._subrequest_by_nonce.pop(event.nonce, None)",
@@ -217,7 +217,7 @@
         TRUTH,
         AT_MOST_ONCE,
         "any order of permits, runs, lost owners, repeats (3,000 generated sessions)",
-        ONCE + "test_no_order_of_events_runs_twice_or_lies",
+        ONCE + "test_requests_run_at_most_once_for_any_event_order",
         Mutant(
             "trackwheel/gateway/ledger.py",
             "        if record.permitted:\n            return False\n",
@@ -245,7 +245,7 @@
         TRUTH,
         NOT_RUN,
         "deadline, killed owner and refusing target, before and after the permit",
-        ONCE + "test_what_the_caller_is_told",
+        ONCE + "test_outcome_reported_to_the_caller",
         Mutant(
             "trackwheel/gateway/execution.py",
             "        if self._permitted:\n            return self._fail",
@@ -256,7 +256,7 @@
         TRUTH,
         NOT_RUN,
         "an owner frozen past the deadline wakes with the request queued",
-        ONCE + "test_no_permit_after_giving_up_and_a_repeat_starts_anew",
+        ONCE + "test_no_permit_after_an_attempt_ended_and_a_repeat_starts_another",
         Mutant(
             "trackwheel/gateway/ledger.py",
             "if record is None or not record.running or record.attempt != attempt:",
@@ -273,7 +273,7 @@
         TRUTH,
         AT_ONCE,
         "all replicas of a shard shed",
-        GATHER + "test_lost_replicas_are_given_up_at_once_when_all_is_wanted",
+        GATHER + "test_query_fails_at_once_when_full_coverage_is_unreachable",
         Mutant(
             "trackwheel/gateway/gather.py",
             "if nothing_more or now >= self._hard_deadline or self._coverage_unreachable(least):",
@@ -345,7 +345,7 @@
         LOAD,
         SHARE,
         "an index flips: thousands of asks are owed, hedges return soon",
-        "tests/gateway/test_budget.py::test_hedges_return_soon_after_an_index_has_flipped",
+        "tests/gateway/test_budget.py::test_hedges_resume_soon_after_a_version_switch",
         Mutant(
             "trackwheel/gateway/budget.py",
             "max(-BUDGET_MAX_DEBT, self._tokens - 1.0)",
@@ -1572,7 +1572,7 @@
         LOAD,
         PAUSE,
         "a replica pauses once: it gets work again",
-        REPLICAS + "test_target_that_paused_once_gets_work_again_soon",
+        REPLICAS + "test_target_gets_requests_again_soon_after_a_pause",
         Mutant(
             "trackwheel/gateway/target_selector.py",
             "return self.stalls.admit(now - seconds, seconds, usual_s, now)",
--- a/trackwheel/gateway/budget.py
+++ b/trackwheel/gateway/budget.py
@@ -1,4 +1,4 @@
-"""The budget that limits all extra load on targets: hedges, retries and version re-asks."""
+"""The budget that limits all extra load on targets: hedges, retries and resends."""
 
 from trackwheel.gateway.const import BUDGET_INITIAL, BUDGET_MAX, BUDGET_MAX_DEBT
 
