--- a/trackwheel/gateway/bodies.py
+++ b/trackwheel/gateway/bodies.py
@@ -7,7 +7,7 @@
 from starlette.requests import Request
 
 from trackwheel.gateway.const import MAX_REQUEST_BYTES, READ_TIMEOUT_S
-from trackwheel.gateway.errors import Code, refuse
+from trackwheel.gateway.errors import Code, refusal
 
 T = TypeVar("T", bound=msgspec.Struct)
 
@@ -43,14 +43,14 @@
             content = await _read_bytes(request)
     except TimeoutError as error:
         detail = f"request body not received within {READ_TIMEOUT_S:.0f} s"
-        raise refuse(
+        raise refusal(
             Code.BAD_REQUEST, "read", detail, "Send the complete body without delay"
         ) from error
     try:
         return msgspec.json.decode(content, type=body_type)
     except (msgspec.DecodeError, RecursionError) as error:
         remedy = "Send JSON as described in docs/CALLERS.md"
-        raise refuse(Code.BAD_REQUEST, "read", str(error), remedy) from error
+        raise refusal(Code.BAD_REQUEST, "read", str(error), remedy) from error
 
 
 async def _read_bytes(request: Request) -> bytes:
@@ -60,6 +60,6 @@
         size += len(part)
         if size > MAX_REQUEST_BYTES:
             detail = f"request body exceeds {MAX_REQUEST_BYTES} bytes"
-            raise refuse(Code.TOO_LARGE, "read", detail, "Send a smaller request")
+            raise refusal(Code.TOO_LARGE, "read", detail, "Send a smaller request")
         parts.append(part)
     return b"".join(parts)
--- a/trackwheel/gateway/errors.py
+++ b/trackwheel/gateway/errors.py
@@ -33,8 +33,8 @@
         self.retry_after_s = retry_after_s
 
 
-def refuse(
+def refusal(
     code: Code, step: str, detail: str, remedy: str, retry_after_s: float = 0.0
 ) -> CallerError:
-    """Return the error for a request that this box refuses."""
+    """Return the error with which this box refuses a request."""
     return CallerError(Problem(code, step, "gateway", detail, remedy), retry_after_s)
--- a/trackwheel/gateway/execution_runner.py
+++ b/trackwheel/gateway/execution_runner.py
@@ -21,7 +21,7 @@
 )
 from trackwheel.files.models import ServiceSpec
 from trackwheel.gateway.admission import Admission
-from trackwheel.gateway.errors import CallerError, Code, refuse
+from trackwheel.gateway.errors import CallerError, Code, refusal
 from trackwheel.gateway.execution import (
     CancelExecution,
     EnqueueExecution,
@@ -271,13 +271,13 @@
     """Return the result, or raise the error, for a request that is not started."""
     remedy = "Get a new id with POST /v1/ids and use it for this request only"
     if verdict is Verdict.INVALID:
-        raise refuse(Code.ID_INVALID, "begin", "the id was not issued to this group", remedy)
+        raise refusal(Code.ID_INVALID, "begin", "the id was not issued to this group", remedy)
     if verdict is Verdict.REUSED:
         detail = "the id has been used for another request"
-        raise refuse(Code.ID_REUSED, "begin", detail, remedy)
+        raise refusal(Code.ID_REUSED, "begin", detail, remedy)
     if verdict is Verdict.FULL:
         detail = "the ledger has no room for another request"
-        raise refuse(Code.OVERLOADED, "begin", detail, "Retry later", 5.0)
+        raise refusal(Code.OVERLOADED, "begin", detail, "Retry later", 5.0)
     return ExecutionResult(request_id, RunOutcome.UNKNOWN, verdict, b"", 0.0)
 
 
@@ -286,7 +286,7 @@
     if result.outcome is RunOutcome.NOT_RUN:
         detail = f"the request was not run: {result.reason}"
         remedy = "Retry with the same id"
-        return refuse(Code.NOT_RUN, "execute", detail, remedy, result.retry_after_s)
+        return refusal(Code.NOT_RUN, "execute", detail, remedy, result.retry_after_s)
     detail = f"it is not known whether the request ran: {result.reason}"
     remedy = "Retry with the same id; the request is not run twice"
-    return refuse(Code.OUTCOME_UNKNOWN, "execute", detail, remedy, result.retry_after_s)
+    return refusal(Code.OUTCOME_UNKNOWN, "execute", detail, remedy, result.retry_after_s)
--- a/trackwheel/gateway/http.py
+++ b/trackwheel/gateway/http.py
@@ -23,7 +23,7 @@
     PATH_IDS,
     PATH_QUERY,
 )
-from trackwheel.gateway.errors import CallerError, Code, refuse
+from trackwheel.gateway.errors import CallerError, Code, refusal
 from trackwheel.gateway.execution_runner import ExecutionRequest, ExecutionResult, ExecutionRunner
 from trackwheel.gateway.forwarding import Forwarder, ForwardReply
 from trackwheel.gateway.ledger import parse_id
@@ -89,7 +89,7 @@
             except Exception as error:
                 LOG.error(f"Unexpected error while serving a request. {error!r}")
                 remedy = "Report it to your operators"
-                failure = refuse(Code.INTERNAL, "serve", type(error).__name__, remedy)
+                failure = refusal(Code.INTERNAL, "serve", type(error).__name__, remedy)
                 return error_response(failure)
 
         return endpoint
@@ -100,14 +100,14 @@
         key = header.removeprefix(BEARER) if header.startswith(BEARER) else ""
         if not self._ready():
             remedy = "Retry later or use another box"
-            raise refuse(
+            raise refusal(
                 Code.NOT_READY, "admit", "no configuration has been loaded yet", remedy, 1.0
             )
         digest = hashlib.sha256(key.encode()).hexdigest()
         group = self._in_force().group_by_key_sha256.get(digest)
         if group is None:
             remedy = "Send `Authorization: Bearer KEY` with your group's key"
-            raise refuse(Code.UNAUTHENTICATED, "admit", "no group has this key", remedy)
+            raise refusal(Code.UNAUTHENTICATED, "admit", "no group has this key", remedy)
         return group
 
     def _service(self, group: GroupSpec, name: str) -> ServiceSpec:
@@ -115,10 +115,10 @@
         if name not in group.services:
             remedy = "Ask your operators to add the service to your group"
             detail = f"group `{group.name}` is not allowed to use service `{name}`"
-            raise refuse(Code.FORBIDDEN, "admit", detail, remedy)
+            raise refusal(Code.FORBIDDEN, "admit", detail, remedy)
         if service is None:
             detail = f"service `{name}` is not declared"
-            raise refuse(Code.UNKNOWN_SERVICE, "admit", detail, "Check the service name")
+            raise refusal(Code.UNKNOWN_SERVICE, "admit", detail, "Check the service name")
         return service
 
     async def _query(self, request: Request, group: GroupSpec) -> Response:
@@ -144,7 +144,7 @@
         body = await read_body(request, IdsBody)
         if not 1 <= body.count <= MAX_IDS_PER_REQUEST:
             detail = f"count must be between 1 and {MAX_IDS_PER_REQUEST}"
-            raise refuse(Code.BAD_REQUEST, "read", detail, "Request fewer ids at a time")
+            raise refusal(Code.BAD_REQUEST, "read", detail, "Request fewer ids at a time")
         ids = self._executions.issue(group.name, body.count)
         return digest_response(msgspec.json.encode({"ids": ids, "end": True}), {})
 
@@ -153,7 +153,7 @@
         if body.id is None:
             remedy = "Get ids with POST /v1/ids and send one with each request"
             detail = "an at-most-once request needs an id"
-            raise refuse(Code.ID_MISSING, "admit", detail, remedy)
+            raise refusal(Code.ID_MISSING, "admit", detail, remedy)
         service = self._service(group, body.service)
         policy = _with_deadline(self._in_force().policy(group.name, service), body.deadline_ms)
         execution = ExecutionRequest(
@@ -193,7 +193,7 @@
         try:
             if service is None:
                 detail = f"service `{forward.service}` is not declared"
-                raise refuse(Code.UNKNOWN_SERVICE, "admit", detail, "Check the service name")
+                raise refusal(Code.UNKNOWN_SERVICE, "admit", detail, "Check the service name")
             execution = ExecutionRequest(
                 forward.request_id,
                 forward.group,
@@ -215,7 +215,7 @@
         return policy
     if not 0 < deadline_ms <= MAX_DEADLINE_S * 1000:
         detail = f"deadline_ms must be above zero and at most {MAX_DEADLINE_S * 1000:.0f}"
-        raise refuse(Code.BAD_REQUEST, "read", detail, "Send a valid deadline_ms")
+        raise refusal(Code.BAD_REQUEST, "read", detail, "Send a valid deadline_ms")
     deadline_s = deadline_ms / 1000
     return policy._replace(
         deadline_s=min(policy.deadline_s, deadline_s), wait_s=min(policy.wait_s, deadline_s)
--- a/trackwheel/gateway/queries.py
+++ b/trackwheel/gateway/queries.py
@@ -14,7 +14,7 @@
 from trackwheel.fleet.models import Member
 from trackwheel.gateway.admission import Admission, QueryCompletion
 from trackwheel.gateway.budget import RetryBudget
-from trackwheel.gateway.errors import CallerError, Code, refuse
+from trackwheel.gateway.errors import CallerError, Code, refusal
 from trackwheel.gateway.gather import Gather
 from trackwheel.gateway.models import (
     Answer,
@@ -156,7 +156,7 @@
         wait_s = self._quarantine.waits_s(query_fingerprint(service.name, query))
         if wait_s > 0.0:
             detail = "targets crashed while serving this query"
-            raise refuse(Code.HELD, "admit", detail, "Retry later", wait_s)
+            raise refusal(Code.HELD, "admit", detail, "Retry later", wait_s)
         now = steady_now()
         query_id = f"{self._hub.identity.boot}-q{next(self._numbers)}"
         trace = self._traces.open(query_id, service.name, group)
@@ -165,7 +165,7 @@
             trace.end("refused: window full")
             retry_s = self._admission.retry_after(window.expected_wait_s())
             detail = f"group `{group}` has {window.running} queries in progress on this box"
-            raise refuse(Code.OVERLOADED, "admit", detail, "Retry later", retry_s)
+            raise refusal(Code.OVERLOADED, "admit", detail, "Retry later", retry_s)
         running = self._begin(query_id, group, service, policy, trace, now)
         try:
             end = await self._drive(running, query)
@@ -365,7 +365,7 @@
         missing_shards = len(end.answer.missing_shards)
         detail = f"{missing_shards} shards were not answered in time"
         retry_s = self._admission.retry_after(end.retry_after_s)
-        error = refuse(code, "gather", detail, "Retry later", retry_s)
+        error = refusal(code, "gather", detail, "Retry later", retry_s)
         raise CoverageTooLowError(error, result)
 
 
