--- a/tests/gateway/test_execution.py
+++ b/tests/gateway/test_execution.py
@@ -62,9 +62,9 @@
     assert ledger.begin(request_id, "drivers", BODY, 1.0).verdict is Verdict.INVALID
     assert ledger.begin(request_id, "clerks", BODY, 1.0).verdict is Verdict.START
     assert ledger.begin(request_id, "clerks", b"other", 1.0).verdict is Verdict.REUSED
-    old = new_id(ledger)
+    expired_id = new_id(ledger)
     late = 1.0 + ID_LIFETIME_S + 1
-    assert ledger.begin(old, "clerks", BODY, late).verdict is Verdict.EXPIRED
+    assert ledger.begin(expired_id, "clerks", BODY, late).verdict is Verdict.EXPIRED
 
 
 def test_permit_is_granted_once() -> None:
@@ -227,7 +227,7 @@
     ledger = new_ledger()
     request_id = new_id(ledger)
     runs = 0
-    told_not_run_while_permitted = False
+    reported_not_run_while_permitted = False
     sessions: list[ExecutionSession] = []
     open_permits: list[tuple[ExecutionSession, EnqueueExecution]] = []
     counted: set[tuple[int, int]] = set()
@@ -250,8 +250,8 @@
         if event == "permit":
             session.permit(session.enqueued[-1])
         elif event == "old_permit":
-            old = sessions[pick % len(sessions)]
-            old.permit(old.enqueued[pick % len(old.enqueued)])
+            previous = sessions[pick % len(sessions)]
+            previous.permit(previous.enqueued[pick % len(previous.enqueued)])
         elif event in ("run", "refuse", "answer_lost") and open_permits:
             owner, permitted = open_permits.pop(pick % len(open_permits))
             if event == "refuse":
@@ -273,6 +273,6 @@
         assert runs + len(open_permits) <= 1, "at most one run that has happened or may happen"
         settled = session.settled
         if settled is not None and settled.outcome is RunOutcome.NOT_RUN:
-            told_not_run_while_permitted |= runs > 0 or bool(open_permits)
+            reported_not_run_while_permitted |= runs > 0 or bool(open_permits)
     assert runs <= 1
-    assert not told_not_run_while_permitted
+    assert not reported_not_run_while_permitted
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -337,15 +337,19 @@
     assert session.result.complete
 
 
-@pytest.mark.parametrize("told", [False, True], ids=["refused-itself", "refused-another-query"])
+@pytest.mark.parametrize(
+    "refused_elsewhere", [False, True], ids=["refused-itself", "refused-another-query"]
+)
 @pytest.mark.parametrize("last", [Outcome.LEAVING, Outcome.FAILED, Outcome.SHED], ids=str)
-def test_ejected_replica_is_asked_when_the_other_one_is_lost(last: Outcome, told: bool) -> None:
+def test_ejected_replica_is_asked_when_the_other_one_is_lost(
+    last: Outcome, refused_elsewhere: bool
+) -> None:
     """An ejected target is a last resort when the other replica is lost.
 
     Queries failed although the ejected target had recovered, since it was not asked.
     """
     selector = TargetSelector(seed=1)
-    if told:
+    if refused_elsewhere:
         selector.mark_ejected("t0b", 0.0)
         session = Session(selector=selector)
         assert session.subrequest_to(0).target == "t0a"
--- a/trackwheel/gateway/admission.py
+++ b/trackwheel/gateway/admission.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.size = WINDOW_INITIAL
         self.running = 0
-        self._mean_s = 0.0
+        self._mean_duration_s = 0.0
         self._last_decrease_at = 0.0
 
     def try_acquire(self) -> bool:
@@ -51,7 +51,7 @@
         full = self.running >= int(self.size)
         self.running -= 1
         took_s = now - end.started_at
-        self._mean_s += 0.1 * (took_s - self._mean_s)
+        self._mean_duration_s += 0.1 * (took_s - self._mean_duration_s)
         if end.shed or end.max_queue_delay_s > WINDOW_DELAY_FRACTION * end.deadline_s:
             self._decrease(end, now)
         elif full:
@@ -59,7 +59,7 @@
 
     def expected_wait_s(self) -> float:
         """Return the expected time until a slot becomes free (seconds)."""
-        return self._mean_s / max(1.0, self.size)
+        return self._mean_duration_s / max(1.0, self.size)
 
     def _decrease(self, end: QueryCompletion, now: float) -> None:
         # Queries that started before the last decrease do not show its effect yet.
