--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -30,7 +30,7 @@
 PARTS = (TRUTH, LOAD, FILES, FLEET, PLATFORM)
 
 GATHER = "tests/gateway/test_gather.py::"
-ONCE = "tests/gateway/test_once.py::"
+ONCE = "tests/gateway/test_execution.py::"
 TARGETS = "tests/whole/test_target_faults.py::"
 BOXES = "tests/whole/test_box_faults.py::"
 TLS = "tests/whole/test_tls.py::"
@@ -42,7 +42,7 @@
 LINE = "tests/dispatch/test_target_scheduler.py::"
 SHARING = "tests/dispatch/test_sharing.py::"
 PAUSES = "tests/dispatch/test_service_time.py::"
-REPLICAS = "tests/gateway/test_board.py::"
+REPLICAS = "tests/gateway/test_target_selector.py::"
 MEMBERS = "tests/fleet/test_membership.py::"
 SHARDS = "tests/relay/test_gather.py::"
 HOMES = "tests/relay/test_homes.py::"
@@ -99,7 +99,7 @@
         TRUTH,
         SNAPSHOT,
         "any order of answers, versions, failures and ticks (1,500 generated sessions)",
-        GATHER + "test_no_order_of_events_bends_the_truth",
+        GATHER + "test_answers_are_consistent_for_any_event_order",
         Mutant(
             "trackwheel/gateway/snapshots.py",
             "items = self._items_by_snapshot.setdefault(snapshot, {})",
@@ -113,8 +113,8 @@
         GATHER + "test_lagging_instance_is_awaited_when_its_other_target_is_out",
         Mutant(
             "trackwheel/gateway/gather.py",
-            "        self._instances[number].tried = lacks if able else set()\n",
-            "        self._instances[number].tried = lacks\n",
+            "        self._instances[number].tried = without_version if available else set()\n",
+            "        self._instances[number].tried = without_version\n",
         ),
     ),
     Row(
@@ -124,7 +124,7 @@
         TARGETS + "test_versions_flip_under_load",
         Mutant(
             "trackwheel/gateway/gather.py",
-            "        if not self._reconsider(now):\n            self._await_version",
+            "        if not self._reselect_version(now):\n            self._await_version",
             "        if False:\n            self._await_version",
         ),
     ),
@@ -169,7 +169,7 @@
         TARGETS + "test_replica_covers_for_a_faulty_target",
         Mutant(
             "trackwheel/gateway/gather.py",
-            "if possible and (free or self._budget.take(owed)):",
+            "if possible and (free or self._budget.try_spend(mandatory)):",
             "if False:",
         ),
     ),
@@ -177,11 +177,11 @@
         TRUTH,
         OWN,
         "doubled answers and answers of other asks",
-        GATHER + "test_doubled_and_foreign_answers_are_passed_over",
+        GATHER + "test_duplicate_and_foreign_answers_are_ignored",
         Mutant(
             "trackwheel/gateway/gather.py",
-            "ask = self._ask_by_nonce.pop(event.nonce, None)",
-            "ask = self._ask_by_nonce.get(event.nonce)",
+            "subrequest = self._subrequest_by_nonce.pop(event.nonce, None)",
+            "subrequest = self._subrequest_by_nonce.get(event.nonce)",
         ),
     ),
     Row(
@@ -217,7 +217,7 @@
         TRUTH,
         AT_MOST_ONCE,
         "any order of permits, runs, lost owners, repeats (3,000 generated sessions)",
-        ONCE + "test_no_order_of_events_runs_twice_or_lies",
+        ONCE + "test_requests_run_at_most_once_for_any_event_order",
         Mutant(
             "trackwheel/gateway/ledger.py",
             "        if record.permitted:\n            return False\n",
@@ -245,18 +245,18 @@
         TRUTH,
         NOT_RUN,
         "deadline, killed owner and refusing target, before and after the permit",
-        ONCE + "test_what_the_caller_is_told",
+        ONCE + "test_outcome_reported_to_the_caller",
         Mutant(
             "trackwheel/gateway/execution.py",
-            "        if self._permitted:\n            return self._give_up",
-            "        if False:\n            return self._give_up",
+            "        if self._permitted:\n            return self._fail",
+            "        if False:\n            return self._fail",
         ),
     ),
     Row(
         TRUTH,
         NOT_RUN,
         "an owner frozen past the deadline wakes with the request queued",
-        ONCE + "test_no_permit_after_giving_up_and_a_repeat_starts_anew",
+        ONCE + "test_no_permit_after_an_attempt_ended_and_a_repeat_starts_another",
         Mutant(
             "trackwheel/gateway/ledger.py",
             "if record is None or not record.running or record.attempt != attempt:",
@@ -273,11 +273,11 @@
         TRUTH,
         AT_ONCE,
         "all replicas of a shard shed",
-        GATHER + "test_lost_replicas_are_given_up_at_once_when_all_is_wanted",
+        GATHER + "test_query_fails_at_once_when_full_coverage_is_unreachable",
         Mutant(
             "trackwheel/gateway/gather.py",
-            "if nothing_more or now >= self._limit or self._hopeless(least):",
-            "if nothing_more or now >= self._limit:",
+            "if nothing_more or now >= self._hard_deadline or self._coverage_unreachable(least):",
+            "if nothing_more or now >= self._hard_deadline:",
         ),
     ),
     Row(
@@ -345,10 +345,10 @@
         LOAD,
         SHARE,
         "an index flips: thousands of asks are owed, hedges return soon",
-        "tests/gateway/test_budget.py::test_hedges_return_soon_after_an_index_has_flipped",
+        "tests/gateway/test_budget.py::test_hedges_resume_soon_after_a_version_switch",
         Mutant(
             "trackwheel/gateway/budget.py",
-            "max(-BUDGET_DEBT, self._tokens - 1.0)",
+            "max(-BUDGET_MAX_DEBT, self._tokens - 1.0)",
             "self._tokens - 1",
         ),
     ),
@@ -1572,9 +1572,9 @@
         LOAD,
         PAUSE,
         "a replica pauses once: it gets work again",
-        REPLICAS + "test_target_that_paused_once_gets_work_again_soon",
+        REPLICAS + "test_target_gets_requests_again_soon_after_a_pause",
         Mutant(
-            "trackwheel/gateway/board.py",
+            "trackwheel/gateway/target_selector.py",
             "return self.stalls.admit(now - seconds, seconds, usual_s, now)",
             "return seconds",
         ),
--- a/trackwheel/gateway/execution.py
+++ b/trackwheel/gateway/execution.py
@@ -1,29 +1,29 @@
-"""The decisions of one request that may run only once: which target, which permit, what to say."""
+"""State machine of one attempt at an at-most-once request."""
 
 from typing import NamedTuple
 
 from trackwheel.dispatch.models import ExecuteAnswer, Outcome, PermitRequest, RunOutcome
-from trackwheel.gateway.board import Board
-from trackwheel.gateway.const import LEAST_RETRY_AFTER_S
+from trackwheel.gateway.const import MIN_RETRY_AFTER_S
 from trackwheel.gateway.ledger import Ledger
+from trackwheel.gateway.target_selector import TargetSelector
 
 
-class AskOnce(NamedTuple):
-    """Command: put the request in the queue of a target."""
+class EnqueueExecution(NamedTuple):
+    """Command: enqueue the request at a target."""
 
     nonce: int
     target: str
 
 
-class WithdrawOnce(NamedTuple):
-    """Command: take the request out of a queue again."""
+class CancelExecution(NamedTuple):
+    """Command: remove the request from the queue of a target."""
 
     nonce: int
     target: str
 
 
-class AnswerPermit(NamedTuple):
-    """Command: answer an owner's permit request."""
+class SendPermitReply(NamedTuple):
+    """Command: reply to the permit request of an owner."""
 
     nonce: int
     target: str
@@ -31,7 +31,7 @@
 
 
 class Settled(NamedTuple):
-    """Command: tell the caller the outcome (seconds until it may come back)."""
+    """Command: return the outcome to the caller (seconds until a retry)."""
 
     outcome: RunOutcome
     reason: str
@@ -39,11 +39,11 @@
     retry_after_s: float
 
 
-ExecutionCommand = AskOnce | WithdrawOnce | AnswerPermit | Settled
+ExecutionCommand = EnqueueExecution | CancelExecution | SendPermitReply | Settled
 
 
 class ExecutionPlan(NamedTuple):
-    """Hold one attempt at one request (deadline on this box's monotonic clock)."""
+    """Input of one attempt at a request (deadline on the monotonic clock of this box)."""
 
     query_id: str
     request_id: str
@@ -53,91 +53,91 @@
 
 
 class Execution:
-    """Decide, from events and the time, how one attempt goes on."""
+    """Turn events and time into commands for one attempt; does no I/O."""
 
-    def __init__(self, plan: ExecutionPlan, ledger: Ledger, board: Board) -> None:
+    def __init__(self, plan: ExecutionPlan, ledger: Ledger, selector: TargetSelector) -> None:
         self.plan = plan
         self._ledger = ledger
-        self._board = board
+        self._selector = selector
         self._nonce = 0
         self._target = ""
         self._permitted = False
         self._tried: set[str] = set()
         self._reason = "no_target"
-        self._retry_after_s = LEAST_RETRY_AFTER_S
+        self._retry_after_s = MIN_RETRY_AFTER_S
         self.settled = False
 
     def start(self, now: float) -> list[ExecutionCommand]:
-        """Ask the first target."""
-        return self._ask_next(now)
+        """Enqueue the request at the first target."""
+        return self._enqueue_next(now)
 
-    def permit_requested(self, request: PermitRequest) -> list[ExecutionCommand]:
-        """Grant a permit to the one ask that is under way, deny it to any other."""
+    def handle_permit_request(self, request: PermitRequest) -> list[ExecutionCommand]:
+        """Grant a permit to the current target only, deny it to all others."""
         plan = self.plan
         current = request.nonce == self._nonce and request.target == self._target
         granted = (
             current
             and not self.settled
             and request.request_id == plan.request_id
-            and self._ledger.permit(plan.request_id, plan.attempt)
+            and self._ledger.grant_permit(plan.request_id, plan.attempt)
         )
         self._permitted = self._permitted or granted
-        return [AnswerPermit(request.nonce, request.target, granted)]
+        return [SendPermitReply(request.nonce, request.target, granted)]
 
-    def answered(self, answer: ExecuteAnswer, now: float) -> list[ExecutionCommand]:
-        """Take the end of an ask; a late `done` is remembered even when the caller has gone."""
+    def handle_answer(self, answer: ExecuteAnswer, now: float) -> list[ExecutionCommand]:
+        """Process an answer; a late `done` is recorded even after the attempt is settled."""
         if answer.nonce != self._nonce:
             return []
         plan = self.plan
         if answer.outcome is RunOutcome.DONE:
-            self._ledger.done(plan.request_id, plan.attempt, answer.body)
+            self._ledger.record_done(plan.request_id, plan.attempt, answer.body)
             return self._settle(RunOutcome.DONE, "", answer.body)
         if self.settled:
             return []
         if answer.outcome is RunOutcome.UNKNOWN:
-            return self._give_up(answer.reason)
-        self._ledger.refused(plan.request_id, plan.attempt)
+            return self._fail(answer.reason)
+        self._ledger.release_permit(plan.request_id, plan.attempt)
         self._permitted = False
         self._reason = answer.reason
         self._retry_after_s = max(self._retry_after_s, answer.retry_after_ms / 1000)
         if answer.reason == Outcome.LEAVING:
-            self._board.learn_leaving(self._target, now)
+            self._selector.mark_leaving(self._target, now)
         elif answer.reason == Outcome.EJECTED:
-            self._board.learn_ejected(self._target, now)
-        return self._ask_next(now)
+            self._selector.mark_ejected(self._target, now)
+        return self._enqueue_next(now)
 
-    def owner_lost(self, now: float) -> list[ExecutionCommand]:
-        """Take that the owner cannot be reached: unknown after a permit, another target before."""
+    def handle_owner_lost(self, now: float) -> list[ExecutionCommand]:
+        """Settle as unknown if a permit was granted, else try another target."""
         if self.settled:
             return []
         if self._permitted:
-            return self._give_up("owner_lost")
+            return self._fail("owner_lost")
         self._reason = Outcome.NO_OWNER
-        return self._ask_next(now)
+        return self._enqueue_next(now)
 
     def expire(self) -> list[ExecutionCommand]:
-        """Take that the caller's time is up."""
+        """Settle the attempt at its deadline."""
         if self.settled:
             return []
-        withdraw = WithdrawOnce(self._nonce, self._target)
-        return [withdraw, *self._give_up("deadline")]
+        cancel = CancelExecution(self._nonce, self._target)
+        return [cancel, *self._fail("deadline")]
 
     @property
     def target(self) -> str:
-        """Return the target whose queue the request is in."""
+        """Return the target at which the request was last enqueued."""
         return self._target
 
-    def _ask_next(self, now: float) -> list[ExecutionCommand]:
-        target = self._board.choose(self.plan.targets, self._tried, now)
+    def _enqueue_next(self, now: float) -> list[ExecutionCommand]:
+        target = self._selector.choose(self.plan.targets, self._tried, now)
         if target is None or now >= self.plan.deadline:
-            return self._give_up(self._reason)
+            return self._fail(self._reason)
         self._nonce += 1
         self._target = target
         self._tried.add(target)
-        return [AskOnce(self._nonce, target)]
+        return [EnqueueExecution(self._nonce, target)]
 
-    def _give_up(self, reason: str) -> list[ExecutionCommand]:
-        outcome = self._ledger.give_up(self.plan.request_id, self.plan.attempt)
+    def _fail(self, reason: str) -> list[ExecutionCommand]:
+        outcome = self._ledger.end_attempt(self.plan.request_id, self.plan.attempt)
         return self._settle(outcome, reason, b"")
 
     def _settle(self, outcome: RunOutcome, reason: str, body: bytes) -> list[ExecutionCommand]:
--- a/trackwheel/gateway/responses.py
+++ b/trackwheel/gateway/responses.py
@@ -1,4 +1,4 @@
-"""What callers get: answers with length and digest, refusals with when to come back."""
+"""HTTP responses: answers with a digest, errors with the delay before a retry."""
 
 import hashlib
 import math
@@ -11,8 +11,8 @@
 from trackwheel.errors import Problem
 from trackwheel.gateway.const import HEADER_DIGEST, HEADER_RETRY_AFTER_MS
 from trackwheel.gateway.errors import CallerError, Code
+from trackwheel.gateway.execution_runner import ExecutionResult, execution_error
 from trackwheel.gateway.models import Answer
-from trackwheel.gateway.once import OnceResult, error_of
 from trackwheel.gateway.queries import QueryResult
 
 STATUS_BY_CODE: Final = {
@@ -34,32 +34,32 @@
 }
 
 
-def shards_of(result: QueryResult) -> dict[str, Any]:
-    """Return what an answer covers and lacks."""
+def coverage_fields(result: QueryResult) -> dict[str, Any]:
+    """Return the fields that describe the coverage of an answer."""
     answer = result.answer
     return {
         "id": result.query_id,
         "version": answer.snapshot.version if answer.snapshot else None,
         "map_size": answer.snapshot.map_size if answer.snapshot else None,
-        "whole": answer.whole,
+        "whole": answer.complete,
         "coverage": answer.coverage,
         "covered": sorted(answer.items_by_shard),
-        "lacking": [lack._asdict() for lack in answer.lacking],
+        "lacking": [missing._asdict() for missing in answer.missing_shards],
     }
 
 
-def items_of(answer: Answer) -> list[dict[str, Any]]:
-    """Return the items of an answer, shard by shard."""
+def answer_items(answer: Answer) -> list[dict[str, Any]]:
+    """Return the items of an answer by shard."""
     return [
         {"shard": shard, "items": items} for shard, items in sorted(answer.items_by_shard.items())
     ]
 
 
-def once_response(result: OnceResult) -> Response:
-    """Return the response for a request that may run only once."""
+def execution_response(result: ExecutionResult) -> Response:
+    """Return the response to an at-most-once request."""
     if result.outcome is not RunOutcome.DONE:
         extra = {"id": result.request_id, "outcome": result.outcome}
-        return error_response(error_of(result), extra)
+        return error_response(execution_error(result), extra)
     body = msgspec.json.encode(
         {
             "id": result.request_id,
@@ -69,11 +69,11 @@
             "end": True,
         }
     )
-    return sealed(body, {})
+    return digest_response(body, {})
 
 
-def sealed(payload: bytes, headers: dict[str, str], status: int = 200) -> Response:
-    """Return a response with its length and digest, so that half of it is seen as half."""
+def digest_response(payload: bytes, headers: dict[str, str], status: int = 200) -> Response:
+    """Return a response with length and digest, so that callers can detect truncation."""
     digest = hashlib.sha256(payload).hexdigest()
     return Response(
         payload,
@@ -84,7 +84,7 @@
 
 
 def retry_headers(retry_after_s: float) -> dict[str, str]:
-    """Return the headers that say when to come back (seconds); none where that is not known."""
+    """Return the Retry-After headers (seconds); none if the delay is unknown."""
     if retry_after_s <= 0:
         return {}
     return {
@@ -94,15 +94,15 @@
 
 
 def problem_body(problem: Problem) -> dict[str, str]:
-    """Return a failure as callers and operators see it."""
+    """Return a problem as written to callers and operators."""
     return dict(problem._asdict())
 
 
 def error_response(error: CallerError, extra: dict[str, Any] | None = None) -> Response:
-    """Return the response for a refusal, with when to come back."""
+    """Return the response for an error, with the delay before a retry if known."""
     status = STATUS_BY_CODE.get(Code(error.problem.code), 500)
     body: dict[str, Any] = {"error": problem_body(error.problem), **(extra or {}), "end": True}
     if error.retry_after_s > 0:
         body["retry_after_ms"] = math.ceil(error.retry_after_s * 1000)
     headers = retry_headers(error.retry_after_s)
-    return sealed(msgspec.json.encode(body), headers, status)
+    return digest_response(msgspec.json.encode(body), headers, status)
