--- a/trackwheel/gateway/queries.py
+++ b/trackwheel/gateway/queries.py
@@ -1,4 +1,4 @@
-"""The task of each query: it carries the gather's commands to owners and brings back answers."""
+"""Runs queries: sends the commands of each gather to the owners and feeds back their answers."""
 
 import itertools
 from collections import Counter, defaultdict
@@ -12,23 +12,23 @@
 from trackwheel.dispatch.models import Outcome, Ping, Pong, Scatter, SubAnswer, SubRequest, Withdraw
 from trackwheel.files.models import Policy, ServiceSpec
 from trackwheel.fleet.models import Member
-from trackwheel.gateway.admission import Admission, QueryEnd
-from trackwheel.gateway.board import Board
-from trackwheel.gateway.budget import Budget
-from trackwheel.gateway.errors import CallerError, Code, refuse
+from trackwheel.gateway.admission import Admission, QueryCompletion
+from trackwheel.gateway.budget import RetryBudget
+from trackwheel.gateway.errors import CallerError, Code, refusal
 from trackwheel.gateway.gather import Gather
 from trackwheel.gateway.models import (
     Answer,
-    Answered,
-    AskTarget,
+    CancelSubrequest,
     GatherCommand,
-    GivenUp,
-    Plan,
-    ShardAnswer,
+    QueryAnswered,
+    QueryFailed,
+    QueryPlan,
+    SendSubrequest,
     Snapshot,
-    WithdrawAsk,
+    SubrequestResult,
 )
 from trackwheel.gateway.owner_watch import OwnerSilent, OwnerWatch, PingOwner
+from trackwheel.gateway.target_selector import TargetSelector
 from trackwheel.inbox import Inbox
 from trackwheel.peers.hub import Hub
 from trackwheel.peers.models import PeerIdentity
@@ -41,49 +41,49 @@
 LOG = Log("gateway")
 
 
-class Owners(Protocol):
-    """Say which box owns a target, as seen from this one."""
+class OwnerLookup(Protocol):
+    """Look up the owners of targets as known to this box."""
 
     def owner(self, service: ServiceSpec, target: str) -> Member | None:
-        """Return the owner, None when nobody is."""
+        """Return the owner, None if there is none."""
 
     def pass_over(self, address: str) -> None:
-        """Give an unreachable box's targets to others for a while."""
+        """Assign the targets of an unreachable box to others temporarily."""
 
 
 class QueryResult(NamedTuple):
-    """Hold an answer with the query's id."""
+    """An answer with the id of its query."""
 
     query_id: str
     answer: Answer
 
 
 class CoverageTooLowError(CallerError):
-    """Carry what there was when a query was given up."""
+    """Error with the partial result of a query that did not reach its coverage."""
 
     def __init__(self, error: CallerError, result: QueryResult) -> None:
         super().__init__(error.problem, error.retry_after_s)
         self.result = result
 
 
-class _Asked(NamedTuple):
-    """Remember where an ask went."""
+class _SentSubrequest(NamedTuple):
+    """The destination of a sub-request."""
 
     target: str
     owner: str
     instance: int
 
 
-class _Running:
-    """Hold one query that is under way."""
+class _RunningQuery:
+    """A query in progress."""
 
     def __init__(self, gather: Gather, service: ServiceSpec, trace: Trace) -> None:
         self.gather = gather
         self.service = service
         self.trace = trace
-        self.inbox: Inbox[ShardAnswer] = Inbox()
-        self.asked_by_nonce: dict[int, _Asked] = {}
-        self.longest_delay_s = 0.0
+        self.inbox: Inbox[SubrequestResult] = Inbox()
+        self.sent_by_nonce: dict[int, _SentSubrequest] = {}
+        self.max_queue_delay_s = 0.0
         self.shed = False
 
 
@@ -93,8 +93,8 @@
     def __init__(
         self,
         hub: Hub,
-        owners: Owners,
-        board: Board,
+        owners: OwnerLookup,
+        selector: TargetSelector,
         traces: Traces,
         quarantine: Quarantine,
         log: EventLog,
@@ -103,21 +103,21 @@
         self._quarantine = quarantine
         self._log = log
         self._owners = owners
-        self._board = board
+        self._selector = selector
         self._traces = traces
         self._admission = Admission(seed=1)
-        self._budget_by_service: dict[str, Budget] = {}
-        self._running_by_id: dict[str, _Running] = {}
+        self._budget_by_service: dict[str, RetryBudget] = {}
+        self._running_by_id: dict[str, _RunningQuery] = {}
         self._numbers = itertools.count(1)
         self._watch = OwnerWatch()
         self._watch_changed = anyio.Event()
         self.foreign_answers = 0
-        hub.register(SubAnswer, self._take)
-        hub.register(Pong, lambda sender, pong: self._watch.heard(sender.address))
+        hub.register(SubAnswer, self._handle_answer)
+        hub.register(Pong, lambda sender, pong: self._watch.message_received(sender.address))
         hub.on_link_lost(self._link_lost)
 
     async def watch_owners(self) -> None:
-        """Ping owners that owe answers and pass over silent ones, until cancelled."""
+        """Ping owners with outstanding sub-requests and bypass silent ones, until cancelled."""
         while True:
             wait_s = self._watch.next_wake() - steady_now()
             if wait_s > 0:
@@ -130,51 +130,53 @@
                     case PingOwner(owner):
                         self._hub.send(owner, Ping(0))
                     case OwnerSilent(owner):
-                        LOG.warning(f"Owner {owner} is silent. Others take its targets.")
+                        LOG.warning(
+                            f"Owner {owner} does not answer pings. Reassigning its targets."
+                        )
                         self._owners.pass_over(owner)
                         self._reassign(owner)
 
     @property
     def running(self) -> int:
-        """Return how many queries are under way."""
+        """Return the number of queries in progress."""
         return len(self._running_by_id)
 
-    def budgets(self) -> dict[str, Budget]:
-        """Return the budgets of extra load by service."""
+    def budgets(self) -> dict[str, RetryBudget]:
+        """Return the retry budgets by service."""
         return self._budget_by_service
 
     def window_sizes(self) -> dict[tuple[str, str], float]:
-        """Return the size of each group's window at each service."""
+        """Return the size of each concurrency window by group and service."""
         return self._admission.sizes()
 
     async def run(
         self, group: str, service: ServiceSpec, policy: Policy, query: str
     ) -> QueryResult:
-        """Return the answer of one query; raise `CallerError` when there is none."""
+        """Run one query and return its result; raise `CallerError` if it fails."""
         wait_s = self._quarantine.waits_s(query_fingerprint(service.name, query))
         if wait_s > 0.0:
-            detail = "targets end under this query"
-            raise refuse(Code.HELD, "admit", detail, "Come back later", wait_s)
+            detail = "targets crashed while serving this query"
+            raise refusal(Code.HELD, "admit", detail, "Retry later", wait_s)
         now = steady_now()
         query_id = f"{self._hub.identity.boot}-q{next(self._numbers)}"
         trace = self._traces.open(query_id, service.name, group)
         window = self._admission.window(group, service.name)
-        if not window.enter():
+        if not window.try_acquire():
             trace.end("refused: window full")
-            retry_s = self._admission.retry_after(window.wait_s())
-            detail = f"group `{group}` has {window.running} queries under way here"
-            raise refuse(Code.OVERLOADED, "admit", detail, "Come back later", retry_s)
+            retry_s = self._admission.retry_after(window.expected_wait_s())
+            detail = f"group `{group}` has {window.running} queries in progress on this box"
+            raise refusal(Code.OVERLOADED, "admit", detail, "Retry later", retry_s)
         running = self._begin(query_id, group, service, policy, trace, now)
         try:
-            end = await self._follow(running, query)
+            end = await self._drive(running, query)
         finally:
             del self._running_by_id[query_id]
             if not running.gather.ended:
-                self._withdraw_all(running)
+                self._cancel_all(running)
             deadline_s = policy.deadline_s
-            how = QueryEnd(now, running.longest_delay_s, running.shed, deadline_s)
-            window.leave(how, steady_now())
-        return self._conclude(running, end)
+            completion = QueryCompletion(now, running.max_queue_delay_s, running.shed, deadline_s)
+            window.release(completion, steady_now())
+        return self._to_result(running, end)
 
     def _begin(
         self,
@@ -184,67 +186,67 @@
         policy: Policy,
         trace: Trace,
         now: float,
-    ) -> _Running:
+    ) -> _RunningQuery:
         targets = tuple(
             tuple(target.address for target in instance) for instance in service.targets_by_instance
         )
-        hint = self._board.version(service.name)
-        plan = Plan(query_id, service.name, group, policy, targets, hint)
-        gather = Gather(plan, self._board, self._budget(service), now)
-        running = self._running_by_id[query_id] = _Running(gather, service, trace)
+        hint = self._selector.last_version(service.name)
+        plan = QueryPlan(query_id, service.name, group, policy, targets, hint)
+        gather = Gather(plan, self._selector, self._budget(service), now)
+        running = self._running_by_id[query_id] = _RunningQuery(gather, service, trace)
         return running
 
-    def _budget(self, service: ServiceSpec) -> Budget:
+    def _budget(self, service: ServiceSpec) -> RetryBudget:
         budget = self._budget_by_service.get(service.name)
         if budget is None:
-            budget = self._budget_by_service[service.name] = Budget(service.extra_load)
-        budget.part = service.extra_load
+            budget = self._budget_by_service[service.name] = RetryBudget(service.extra_load)
+        budget.ratio = service.extra_load
         return budget
 
-    async def _follow(self, running: _Running, query: str) -> Answered | GivenUp:
-        """Let the gather decide until it ends."""
+    async def _drive(self, running: _RunningQuery, query: str) -> QueryAnswered | QueryFailed:
+        """Feed events to the gather until it ends."""
         gather = running.gather
         commands = gather.start(steady_now())
         while True:
-            end = self._perform(running, commands, query)
+            end = self._apply(running, commands, query)
             if end is not None:
                 return end
             events = await running.inbox.take(gather.next_wake())
             now = steady_now()
             commands = []
             for event in events:
-                commands += gather.answered(event, now)
+                commands += gather.handle_result(event, now)
             commands += gather.tick(now)
 
-    def _perform(
-        self, running: _Running, commands: list[GatherCommand], query: str
-    ) -> Answered | GivenUp | None:
-        end: Answered | GivenUp | None = None
-        asks_by_owner_and_version: defaultdict[tuple[str, int | None], list[SubRequest]]
-        asks_by_owner_and_version = defaultdict(list)
-        withdrawn_by_owner: defaultdict[str, list[SubRequest]] = defaultdict(list)
+    def _apply(
+        self, running: _RunningQuery, commands: list[GatherCommand], query: str
+    ) -> QueryAnswered | QueryFailed | None:
+        end: QueryAnswered | QueryFailed | None = None
+        subrequests_by_owner_and_version: defaultdict[tuple[str, int | None], list[SubRequest]]
+        subrequests_by_owner_and_version = defaultdict(list)
+        cancelled_by_owner: defaultdict[str, list[SubRequest]] = defaultdict(list)
         for command in commands:
             match command:
-                case AskTarget():
-                    owner = self._note_ask(running, command)
-                    ask = SubRequest(command.nonce, command.target, command.last_resort)
-                    asks_by_owner_and_version[owner, command.version].append(ask)
-                case WithdrawAsk(nonce, target):
-                    asked = running.asked_by_nonce.get(nonce)
-                    if asked is not None and asked.owner:
-                        withdrawn_by_owner[asked.owner].append(SubRequest(nonce, target, False))
-                case Answered() | GivenUp():
+                case SendSubrequest():
+                    owner = self._record_send(running, command)
+                    subrequest = SubRequest(command.nonce, command.target, command.last_resort)
+                    subrequests_by_owner_and_version[owner, command.version].append(subrequest)
+                case CancelSubrequest(nonce, target):
+                    sent = running.sent_by_nonce.get(nonce)
+                    if sent is not None and sent.owner:
+                        cancelled_by_owner[sent.owner].append(SubRequest(nonce, target, False))
+                case QueryAnswered() | QueryFailed():
                     end = command
-        for owner, asks in withdrawn_by_owner.items():
-            self._hub.send(owner, Withdraw(running.gather.plan.query_id, asks))
-        for (owner, version), asks in asks_by_owner_and_version.items():
-            self._scatter(running, owner, version, asks, query)
+        for owner, subrequests in cancelled_by_owner.items():
+            self._hub.send(owner, Withdraw(running.gather.plan.query_id, subrequests))
+        for (owner, version), subrequests in subrequests_by_owner_and_version.items():
+            self._scatter(running, owner, version, subrequests, query)
         return end
 
-    def _note_ask(self, running: _Running, command: AskTarget) -> str:
+    def _record_send(self, running: _RunningQuery, command: SendSubrequest) -> str:
         owner = self._owner_address(running.service, command.target)
-        asked = _Asked(command.target, owner, command.instance)
-        running.asked_by_nonce[command.nonce] = asked
+        sent = _SentSubrequest(command.target, owner, command.instance)
+        running.sent_by_nonce[command.nonce] = sent
         detail = (
             command.reason if command.version is None else f"{command.reason} v{command.version}"
         )
@@ -252,88 +254,93 @@
         return owner
 
     def _scatter(
-        self, running: _Running, owner: str, version: int | None, asks: list[SubRequest], query: str
+        self,
+        running: _RunningQuery,
+        owner: str,
+        version: int | None,
+        subrequests: list[SubRequest],
+        query: str,
     ) -> None:
-        """Send all of a query's asks for one owner in one message."""
+        """Send all sub-requests of a query to one owner in one message."""
         plan = running.gather.plan
-        deadline_ms = (running.gather.limit - steady_now()) * 1000
+        deadline_ms = (running.gather.hard_deadline - steady_now()) * 1000
         message = Scatter(
-            plan.query_id, plan.service, plan.group, deadline_ms, version, query, asks
+            plan.query_id, plan.service, plan.group, deadline_ms, version, query, subrequests
         )
         if owner and self._hub.send(owner, message):
             if owner != self._hub.identity.address:
-                self._watch.asked(owner, steady_now())
+                self._watch.request_sent(owner, steady_now())
                 self._watch_changed.set()
             return
-        for ask in asks:
-            running.inbox.put(_without_owner(ask.nonce))
+        for subrequest in subrequests:
+            running.inbox.put(_no_owner(subrequest.nonce))
 
-    def _take(self, sender: PeerIdentity, answer: SubAnswer) -> None:
-        """Hand an answer to its query; one that fits no query is dropped and counted."""
-        self._watch.heard(sender.address)
+    def _handle_answer(self, sender: PeerIdentity, answer: SubAnswer) -> None:
+        """Dispatch an answer to its query; drop and count answers that match none."""
+        self._watch.message_received(sender.address)
         running = self._running_by_id.get(answer.query_id)
-        asked = running.asked_by_nonce.get(answer.nonce) if running is not None else None
-        if running is None or asked is None or asked.owner != sender.address:
+        sent = running.sent_by_nonce.get(answer.nonce) if running is not None else None
+        if running is None or sent is None or sent.owner != sender.address:
             self.foreign_answers += 1
             return
-        event = self._read(answer)
-        self._board.learn_queue(
-            asked.target, answer.delay_ms / 1000, answer.service_ms / 1000, steady_now()
+        event = self._decode(answer)
+        self._selector.record_queue_delay(
+            sent.target, answer.delay_ms / 1000, answer.service_ms / 1000, steady_now()
         )
-        running.longest_delay_s = max(running.longest_delay_s, answer.delay_ms / 1000)
+        running.max_queue_delay_s = max(running.max_queue_delay_s, answer.delay_ms / 1000)
         running.shed = running.shed or event.outcome in (Outcome.SHED, Outcome.LATE)
         detail = f"{event.outcome} {answer.service_ms:.1f} ms"
-        running.trace.note("end", asked.instance, asked.target, asked.owner, detail)
+        running.trace.note("end", sent.instance, sent.target, sent.owner, detail)
         running.inbox.put(event)
 
-    def _read(self, answer: SubAnswer) -> ShardAnswer:
-        """Return the event of an answer; one that is not its own sub-request's has failed."""
+    def _decode(self, answer: SubAnswer) -> SubrequestResult:
+        """Decode an answer; one that belongs to another sub-request counts as failed."""
         retry_s = answer.retry_after_ms / 1000
-        holds = tuple(answer.holds)
+        held_versions = tuple(answer.holds)
         if answer.outcome is not Outcome.OK:
-            return ShardAnswer(answer.nonce, answer.outcome, None, {}, holds, retry_s)
+            return SubrequestResult(answer.nonce, answer.outcome, None, {}, held_versions, retry_s)
         try:
             read = msgspec.json.decode(answer.body, type=TargetAnswer)
         except msgspec.DecodeError:
-            return ShardAnswer(answer.nonce, Outcome.FAILED, None, {}, (), retry_s)
+            return SubrequestResult(answer.nonce, Outcome.FAILED, None, {}, (), retry_s)
         own = read.nonce == f"{answer.query_id}.{answer.nonce}" and read.end
         if not own or read.map_size < 1:
             self.foreign_answers += 1
-            return ShardAnswer(answer.nonce, Outcome.FAILED, None, {}, (), retry_s)
+            return SubrequestResult(answer.nonce, Outcome.FAILED, None, {}, (), retry_s)
         snapshot = Snapshot(read.version, read.map_size)
-        return ShardAnswer(answer.nonce, Outcome.OK, snapshot, read.shards, (), retry_s)
+        return SubrequestResult(answer.nonce, Outcome.OK, snapshot, read.shards, (), retry_s)
 
     def _reassign(self, silent: str) -> None:
-        """End the asks at a silent owner whose targets have another owner now."""
+        """Fail sub-requests at a silent owner if their targets now have another owner."""
         for running in self._running_by_id.values():
-            for nonce, asked in running.asked_by_nonce.items():
-                if asked.owner != silent:
+            for nonce, sent in running.sent_by_nonce.items():
+                if sent.owner != silent:
                     continue
-                if self._owner_address(running.service, asked.target) != silent:
-                    running.inbox.put(_without_owner(nonce))
+                if self._owner_address(running.service, sent.target) != silent:
+                    running.inbox.put(_no_owner(nonce))
 
     def _owner_address(self, service: ServiceSpec, target: str) -> str:
         member = self._owners.owner(service, target)
         return member.address if member is not None else ""
 
     def _link_lost(self, address: str) -> None:
-        """End every ask at an owner that cannot be reached."""
+        """Fail all sub-requests at an unreachable owner."""
         for running in self._running_by_id.values():
-            for nonce, asked in running.asked_by_nonce.items():
-                if asked.owner == address:
-                    running.inbox.put(_without_owner(nonce))
+            for nonce, sent in running.sent_by_nonce.items():
+                if sent.owner == address:
+                    running.inbox.put(_no_owner(nonce))
 
-    def _withdraw_all(self, running: _Running) -> None:
-        """Take back everything of a query whose caller has gone."""
+    def _cancel_all(self, running: _RunningQuery) -> None:
+        """Cancel all sub-requests of a query whose caller has disconnected."""
         query_id = running.gather.plan.query_id
         running.trace.end("caller gone")
-        running.gather.abandon()
-        for nonce, asked in running.asked_by_nonce.items():
-            if asked.owner:
-                withdraw = Withdraw(query_id, [SubRequest(nonce, asked.target, False)])
-                self._hub.send(asked.owner, withdraw)
+        running.gather.cancel()
+        for nonce, sent in running.sent_by_nonce.items():
+            if sent.owner:
+                cancel = Withdraw(query_id, [SubRequest(nonce, sent.target, False)])
+                self._hub.send(sent.owner, cancel)
 
-    def _log_given_up(self, running: _Running, end: GivenUp) -> None:
+    def _log_failure(self, running: _RunningQuery, end: QueryFailed) -> None:
         budget = self._budget(running.service)
         trace = running.trace
         self._log.write(
@@ -342,23 +349,23 @@
             service=running.service.name,
             took_ms=round(trace.took_ms, 1),
             overloaded=end.overloaded,
-            lacking=_count_reasons([lack.reason for lack in end.answer.lacking]),
-            requests=len(running.asked_by_nonce),
-            budget_left=round(budget.left, 1),
+            lacking=_count_reasons([missing.reason for missing in end.answer.missing_shards]),
+            requests=len(running.sent_by_nonce),
+            budget_left=round(budget.balance, 1),
         )
 
-    def _conclude(self, running: _Running, end: Answered | GivenUp) -> QueryResult:
+    def _to_result(self, running: _RunningQuery, end: QueryAnswered | QueryFailed) -> QueryResult:
         result = QueryResult(running.gather.plan.query_id, end.answer)
-        if isinstance(end, Answered):
-            running.trace.end("whole" if end.answer.whole else "partial")
+        if isinstance(end, QueryAnswered):
+            running.trace.end("whole" if end.answer.complete else "partial")
             return result
         running.trace.end("given up")
-        self._log_given_up(running, end)
+        self._log_failure(running, end)
         code = Code.OVERLOADED if end.overloaded else Code.COVERAGE_TOO_LOW
-        lacking = len(end.answer.lacking)
-        detail = f"{lacking} shards could not be covered in time"
+        missing_shards = len(end.answer.missing_shards)
+        detail = f"{missing_shards} shards were not answered in time"
         retry_s = self._admission.retry_after(end.retry_after_s)
-        error = refuse(code, "gather", detail, "Come back later", retry_s)
+        error = refusal(code, "gather", detail, "Retry later", retry_s)
         raise CoverageTooLowError(error, result)
 
 
@@ -366,5 +373,5 @@
     return ", ".join(f"{reason} {count}" for reason, count in Counter(reasons).items())
 
 
-def _without_owner(nonce: int) -> ShardAnswer:
-    return ShardAnswer(nonce, Outcome.NO_OWNER, None, {}, (), 0.0)
+def _no_owner(nonce: int) -> SubrequestResult:
+    return SubrequestResult(nonce, Outcome.NO_OWNER, None, {}, (), 0.0)
--- a/trackwheel/telemetry/samples.py
+++ b/trackwheel/telemetry/samples.py
@@ -6,7 +6,7 @@
 from trackwheel.dispatch.service import DispatchService
 from trackwheel.files.service import FilesService
 from trackwheel.fleet.service import FleetService
-from trackwheel.gateway.once import OnceRunner
+from trackwheel.gateway.execution_runner import ExecutionRunner
 from trackwheel.gateway.queries import QueryRunner
 from trackwheel.peers.hub import Hub
 from trackwheel.storage.clients import HttpKeyValue
@@ -22,7 +22,7 @@
     files: FilesService
     store: HttpKeyValue
     queries: QueryRunner
-    once: OnceRunner
+    once: ExecutionRunner
     dispatch: DispatchService
     burn: Burn
 
@@ -62,7 +62,7 @@
     ]
     for service, budget in queries.budgets().items():
         labels = {"service": service}
-        first, extra, denied = budget.first_tries, budget.extras, budget.denied
+        first, extra, denied = budget.first_attempts, budget.extras, budget.denied
         samples += [
             Sample("trackwheel_sub_requests_first", "First tries.", labels, first),
             Sample("trackwheel_sub_requests_extra", "Hedges and retries.", labels, extra),
