--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -286,7 +286,7 @@
     def _report(self, final: bool) -> None:
         if self._run is None or (self._run.gather.ended and not final):
             return
-        signatures, records = self._run.gather.parts.take_unreported()
+        signatures, records = self._run.gather.parts.pop_unreported()
         if self._command.group.repeat:
             for (name, signature), part in zip(signatures.items(), records, strict=True):
                 self._send({name: signature}, part, False)
--- a/tests/relay/test_gather.py
+++ b/tests/relay/test_gather.py
@@ -199,7 +199,7 @@
     session.tick(END_AT)
     assert isinstance(session.end, GatherFailed)
     assert session.end[:3] == (True, True, "time is up")
-    assert session.end.lacking.startswith("s1: awaited of s1-near; s2: awaited")
+    assert session.end.lacking.startswith("s1: waiting for s1-near; s2: waiting")
     assert not session.open
 
 
@@ -506,9 +506,9 @@
 def test_partial_gather_gives_what_is_in(board: Board, budget: RepeatBudget) -> None:
     session = Session(board, budget, least=0.0, partial=True)
     session.answer("s0")
-    first, _ = session.gather.parts.take_unreported()
+    first, _ = session.gather.parts.pop_unreported()
     session.answer("s1")
-    second, _ = session.gather.parts.take_unreported()
+    second, _ = session.gather.parts.pop_unreported()
     assert (list(first), list(second)) == (["s0"], ["s1"])
     session.tick(ANSWER_AT)
     assert session.end is None, "parts that come after the aim are still told"
--- a/tests/relay/test_parts.py
+++ b/tests/relay/test_parts.py
@@ -8,7 +8,7 @@
 
 from trackwheel.relay.merge import merge_records
 from trackwheel.relay.models import Part
-from trackwheel.relay.parts import PartsIn
+from trackwheel.relay.parts import ReceivedParts
 
 SHARDS = ("a", "b", "c", "d")
 
@@ -35,13 +35,13 @@
 def test_floor_is_the_least_record_that_can_count(
     own: dict[str, Part], merged: list[int], by_peer: tuple[str, ...], expected: bytes
 ) -> None:
-    parts = PartsIn(SHARDS, 3)
+    parts = ReceivedParts(SHARDS, 3)
     parts.expect_merged(by_peer)
     for shard, taken in own.items():
-        parts.take(shard, taken)
+        parts.add(shard, taken)
     if merged:
         records = [record(number) for number in merged]
-        parts.take_merged(by_peer, dict.fromkeys(by_peer, b"sig"), records)
+        parts.add_merged(by_peer, dict.fromkeys(by_peer, b"sig"), records)
     assert parts.floor() == expected
 
 
@@ -52,9 +52,9 @@
         shard: sorted(record(random.randrange(12)) for _ in range(random.randrange(6)))[::-1]
         for shard in SHARDS
     }
-    parts = PartsIn(SHARDS, 3)
+    parts = ReceivedParts(SHARDS, 3)
     for shard in SHARDS[:3]:
-        parts.take(shard, Part(b"sig", records_by_shard[shard]))
+        parts.add(shard, Part(b"sig", records_by_shard[shard]))
     floor = parts.floor()
     late = [found for found in records_by_shard["d"] if found > floor]
     in_hand = parts.gathered().record_lists
@@ -65,11 +65,11 @@
 @pytest.mark.parametrize("order", list(permutations(range(3))), ids=str)
 def test_shards_that_come_twice_count_once(order: tuple[int, ...]) -> None:
     """By itself from a second peer, merged from the first one, and directly."""
-    parts = PartsIn(SHARDS, 3)
+    parts = ReceivedParts(SHARDS, 3)
     steps: list[Callable[[], object]] = [
-        lambda: parts.take_merged(("a",), {"a": b"single"}, [record(1)]),
-        lambda: parts.take_merged(("a", "b"), {"a": b"m", "b": b"m"}, [record(2), record(3)]),
-        lambda: parts.take("a", part(4)),
+        lambda: parts.add_merged(("a",), {"a": b"single"}, [record(1)]),
+        lambda: parts.add_merged(("a", "b"), {"a": b"m", "b": b"m"}, [record(2), record(3)]),
+        lambda: parts.add("a", part(4)),
     ]
     for step in order:
         steps[step]()
@@ -81,6 +81,6 @@
 
 @pytest.mark.parametrize("shards", [("a", "x"), ("a", "d")], ids=["not-asked", "asked-of-another"])
 def test_foreign_merged_records_do_not_count(shards: tuple[str, ...]) -> None:
-    parts = PartsIn(SHARDS, 3)
-    assert parts.take_merged(("a", "b"), dict.fromkeys(shards, b"m"), [record(1)]) == []
+    parts = ReceivedParts(SHARDS, 3)
+    assert parts.add_merged(("a", "b"), dict.fromkeys(shards, b"m"), [record(1)]) == []
     assert len(parts) == 0
--- a/trackwheel/relay/asking.py
+++ b/trackwheel/relay/asking.py
@@ -7,8 +7,8 @@
 from trackwheel.relay.budget import RepeatBudget
 from trackwheel.relay.const import LATE_RETRY_PACES, RETRY_PACES
 from trackwheel.relay.gather_models import CancelPart, GatherPlan, SendPart
-from trackwheel.relay.handed import HandedGroups
-from trackwheel.relay.shards import Shard, ShardBook
+from trackwheel.relay.handed import DelegatedGroups
+from trackwheel.relay.shards import Shard, ShardTracker
 
 DECLINED: Final = "declined"
 """Why a shard is asked for that a peer has left to others."""
@@ -22,8 +22,8 @@
         plan: GatherPlan,
         board: Board,
         budget: RepeatBudget,
-        shards: ShardBook,
-        groups: HandedGroups,
+        shards: ShardTracker,
+        groups: DelegatedGroups,
     ) -> None:
         self._plan = plan
         self._board = board
@@ -73,16 +73,16 @@
     ) -> None:
         """Look at a shard again at a time, or take it as lost."""
         shard = self._shards[name]
-        if shard.waits:
+        if shard.is_pending:
             if refusal is Refusal.NOT_NOW and in_time:
-                self._shards.hedge(name, again_at)
+                self._shards.schedule_hedge(name, again_at)
         elif refusal is Refusal.NOT_NOW and not self._plan.repeat:
             self._shards.hold_back(name, again_at)
         elif refusal is Refusal.DOWN and in_time and not self._plan.repeat:
             # A target that is back before the aim still serves in time; later nobody gains.
             self._shards.hold_back(name, max(again_at, shard.attempts.rests_until))
         else:
-            self._shards.lose([name])
+            self._shards.give_up([name])
             shard.last_failure = shard.last_failure or self._why_lost(name, now)
 
     def _why_lost(self, name: str, now: float) -> str:
@@ -92,7 +92,10 @@
 
     def _needs(self, name: str) -> bool:
         """Return whether the answer fails without a shard, since too many others lack."""
-        return self._shards.left_out_besides(name) >= self._shards.spare - self._groups.spare
+        return (
+            self._shards.count_others_unavailable(name)
+            >= self._shards.max_missing - self._groups.max_missing
+        )
 
     def _ask(self, name: str, reason: str, now: float) -> SendPart | Refusal:
         """Return the request to one more target, or why there is none."""
@@ -102,12 +105,12 @@
         )
         if isinstance(choices, Refusal):
             return choices
-        self._shards.asked(name)
+        self._shards.mark_asked(name)
         token = self._next_token
         self._next_token += 1
         target = choices[0].target
         shard.attempts.begin(token, target)
         self._shard_name_by_token[token] = name
         if len(shard.attempts.target_by_token) == 1:
-            self._shards.hedge(name, hedge_time(choices, self._plan.answer_at, now))
+            self._shards.schedule_hedge(name, hedge_time(choices, self._plan.answer_at, now))
         return SendPart(token, name, target, reason)
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -29,11 +29,11 @@
     PeerSilent,
     Regrouping,
 )
-from trackwheel.relay.handed import HandedGroups
+from trackwheel.relay.handed import DelegatedGroups
 from trackwheel.relay.handing import GroupHanding
 from trackwheel.relay.models import Outcome, Part, Passage, TargetEnd
-from trackwheel.relay.parts import PartsIn
-from trackwheel.relay.shards import ShardBook
+from trackwheel.relay.parts import ReceivedParts
+from trackwheel.relay.shards import ShardTracker
 
 ENDS_TARGETS: Final = "targets end under it"
 """Why a query is given up that is held."""
@@ -51,9 +51,9 @@
     ) -> None:
         self.plan = plan
         self._board = board
-        self._shards = ShardBook(plan)
-        self._groups = HandedGroups()
-        self.parts = PartsIn(plan.shards, plan.top_k)
+        self._shards = ShardTracker(plan)
+        self._groups = DelegatedGroups()
+        self.parts = ReceivedParts(plan.shards, plan.top_k)
         self._handing = GroupHanding(
             plan, board, self._shards, self._groups, self.parts, regrouping
         )
@@ -67,7 +67,7 @@
         """Hand the groups to their peers and ask the best target of each other shard."""
         for group in self.plan.groups:
             self._commands.append(self._handing.hand_over(group))
-        own = self._shards.without_group()
+        own = self._shards.ungrouped()
         reason = "repeat" if self.plan.repeat else "first"
         left_to_others = self._leave_to_others(own, now)
         for name in own:
@@ -79,7 +79,7 @@
 
     def _return_unasked(self, names: Sequence[str]) -> None:
         """Give back the shards for which no target may be asked here: they are not tried yet."""
-        unasked = tuple(name for name in names if not self._shards[name].waits)
+        unasked = tuple(name for name in names if not self._shards[name].is_pending)
         if unasked:
             self._commands.append(Declined(unasked))
 
@@ -90,7 +90,7 @@
         better = [name for name in names if self._is_better_elsewhere(name, now)]
         if not self.plan.partial:
             return self._hand_past_own(better, now)
-        self._shards.lose(better)
+        self._shards.give_up(better)
         if better:
             self._commands.append(Declined(tuple(better)))
         return set(better)
@@ -127,7 +127,7 @@
         shard = self._shards[name]
         if part is not None:
             shard.attempts.succeed(token)
-            self.parts.take(name, part)
+            self.parts.add(name, part)
             self._came_in(name)
             return self._finish_or_go_on(now)
         where = shard.attempts.target_by_token[token].instance
@@ -168,7 +168,7 @@
         group.report()
         self._closings.by_group[number] = closed
         self._peers_ran |= ran
-        for name in self.parts.take_merged(group.plan.shards, signature_by_shard, records):
+        for name in self.parts.add_merged(group.plan.shards, signature_by_shard, records):
             self._came_in(name)
         if final:
             self._release(number, "lacking", now)
@@ -214,9 +214,9 @@
         """Do what is due: second targets, a look at peers, the end of the query."""
         if self.ended:
             return []
-        for number in self._groups.take_silent(now):
+        for number in self._groups.pop_overdue(now):
             self._doubt(number, now)
-        self._ask_elsewhere(self._shards.take_late(now), "hedge", now)
+        self._ask_elsewhere(self._shards.pop_late(now), "hedge", now)
         self._retry(now)
         return self._finish_or_go_on(now)
 
@@ -229,7 +229,7 @@
 
     def next_wake(self) -> float:
         """Return when `tick` is next needed (monotonic seconds)."""
-        times = [self.plan.end_at, self._groups.next_check()]
+        times = [self.plan.end_at, self._groups.next_check_at()]
         times += [self._shards.next_hedge(), self._shards.next_retry()]
         if self._enough() and not self.plan.partial:
             times.append(self.plan.answer_at)
@@ -239,7 +239,7 @@
     def may_have_run(self) -> bool:
         """Return whether a target may have run any shard, here or at a peer."""
         return self._peers_ran or any(
-            shard.waits or shard.attempts.ran for shard in self._shards.all
+            shard.is_pending or shard.attempts.ran for shard in self._shards.all
         )
 
     def _doubt(self, number: int, now: float) -> None:
@@ -267,7 +267,9 @@
         self._groups.pop(number)
         for name in shards:
             self._shards[name].groups.discard(number)
-        self._ask_elsewhere([name for name in shards if not self._shards[name].waits], reason, now)
+        self._ask_elsewhere(
+            [name for name in shards if not self._shards[name].is_pending], reason, now
+        )
 
     def _ask_elsewhere(self, names: Sequence[str], reason: str, now: float) -> None:
         """Ask once more for shards that are not in: through peers beside other targets, or not."""
@@ -294,7 +296,7 @@
         awaited. Asking the second target of each shard meanwhile would lose those too: 40 targets
         and not 20 in an incident. Where others fail it costs half of the usual time of an answer.
         """
-        return self._closings.any and not len(self.parts) and self._shards.awaits_answers
+        return self._closings.any and not len(self.parts) and self._shards.awaits_answer
 
     @property
     def closed(self) -> int:
@@ -318,12 +320,12 @@
 
     def _enough(self) -> bool:
         found = len(self.parts)
-        return found > 0 and len(self.plan.shards) - found <= self._shards.spare
+        return found > 0 and len(self.plan.shards) - found <= self._shards.max_missing
 
     def _hopeless(self) -> bool:
         """Return whether too many shards can no longer come."""
-        lost = self._shards.lost
-        return lost > self._shards.spare or lost == len(self.plan.shards)
+        lost = self._shards.given_up_count
+        return lost > self._shards.max_missing or lost == len(self.plan.shards)
 
     def _finish_or_go_on(self, now: float) -> list[GatherCommand]:
         if not self.ended:
@@ -333,7 +335,7 @@
 
     def _finish(self, now: float) -> None:
         shut = self.plan.gate.passage(now) is Passage.SHUT
-        waits = self._shards.waits and not shut
+        waits = self._shards.can_receive_more and not shut
         if len(self.parts) == len(self.plan.shards):
             self._answer("whole")
         elif self.plan.partial:
@@ -362,17 +364,17 @@
 
     def _lacking(self) -> str:
         """Return which shards are not in and why, for the log."""
-        return self._shards.lacking(LOGGED_SHARDS, self._groups.address)
+        return self._shards.describe_missing(LOGGED_SHARDS, self._groups.address)
 
     def _end(self) -> None:
         self.ended = True
         for shard in self._shards.all:
             self._commands += self._asking.withdraw(shard)
-        for number, group in self._groups.take_all().items():
+        for number, group in self._groups.pop_all().items():
             if any(name not in self.parts for name in group.plan.shards):
                 self._commands.append(CancelGroup(number, group.plan.address))
 
     def _came_in(self, name: str) -> None:
         """Await nothing more for a shard."""
         self._commands += self._asking.withdraw(self._shards[name])
-        self._shards.came_in(name)
+        self._shards.mark_received(name)
--- a/trackwheel/relay/handing.py
+++ b/trackwheel/relay/handing.py
@@ -4,10 +4,10 @@
 
 from trackwheel.relay.board import Board
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan, Regrouping, SendGroup
-from trackwheel.relay.handed import HandedGroup, HandedGroups
+from trackwheel.relay.handed import DelegatedGroup, DelegatedGroups
 from trackwheel.relay.models import Passage
-from trackwheel.relay.parts import PartsIn
-from trackwheel.relay.shards import ShardBook
+from trackwheel.relay.parts import ReceivedParts
+from trackwheel.relay.shards import ShardTracker
 
 
 class GroupHanding:
@@ -17,9 +17,9 @@
         self,
         plan: GatherPlan,
         board: Board,
-        shards: ShardBook,
-        groups: HandedGroups,
-        parts: PartsIn,
+        shards: ShardTracker,
+        groups: DelegatedGroups,
+        parts: ReceivedParts,
         regrouping: Regrouping | None,
     ) -> None:
         self._plan = plan
@@ -31,14 +31,14 @@
 
     def hand_over(self, group: GroupPlan) -> SendGroup:
         """Leave a group to a peer: a first one with all attempts but one, a repeat with one."""
-        handed = HandedGroup(group, self._spare_of(group))
+        handed = DelegatedGroup(group, self._max_missing_of(group))
         number = self._groups.add(handed)
         if not group.repeat:
             self._parts.expect_merged(group.shards)
         for name in group.shards:
             shard = self._shards[name]
             shard.groups.add(number)
-            self._shards.asked(name)
+            self._shards.mark_asked(name)
             beside = {t.instance for t in self._board.targets(name) if t.place == group.place}
             if group.repeat:
                 shard.attempts.lend(beside)
@@ -65,8 +65,8 @@
         """Return the shards that are left to a peer."""
         return self._shards.in_group(self._groups[number].plan.shards, number)
 
-    def _spare_of(self, group: GroupPlan) -> int:
+    def _max_missing_of(self, group: GroupPlan) -> int:
         """Return how many shards of a group its peer may leave out: a part of what may lack."""
         if group.repeat:
             return 0
-        return self._shards.spare * len(group.shards) // len(self._plan.shards)
+        return self._shards.max_missing * len(group.shards) // len(self._plan.shards)
--- a/trackwheel/relay/parts.py
+++ b/trackwheel/relay/parts.py
@@ -1,4 +1,4 @@
-"""What has come in for a query: parts by themselves, and records that peers merged."""
+"""Results received for a query: parts of single shards and records merged by peers."""
 
 from heapq import nlargest
 
@@ -6,8 +6,8 @@
 from trackwheel.relay.models import Part
 
 
-class PartsIn:
-    """Hold each shard's part once, whatever comes twice."""
+class ReceivedParts:
+    """Collect the parts of a query's shards and drop duplicates."""
 
     def __init__(self, shards: tuple[str, ...], top_k: int) -> None:
         self._shards = shards
@@ -25,28 +25,29 @@
         return shard in self._part_by_shard or shard in self._merged_signature_by_shard
 
     def expect_merged(self, shards: tuple[str, ...]) -> None:
-        """Take that a peer may bring merged records which hold these shards."""
+        """Register shards for which a peer may send merged records."""
         self._merged_by_peer.update(shards)
 
-    def take(self, shard: str, part: Part) -> None:
-        """Take the part of one shard, unless it is in; merged records can replace it later."""
+    def add(self, shard: str, part: Part) -> None:
+        """Add the part of one shard unless it is present; merged records can replace it later."""
         if shard not in self:
             self._part_by_shard[shard] = part
 
-    def take_merged(
+    def add_merged(
         self, asked: tuple[str, ...], signature_by_shard: dict[str, bytes], records: list[bytes]
     ) -> list[str]:
-        """Take what a peer brings of the shards it was asked for; return those that are in now.
+        """Add records that a peer merged from `asked` shards; return the shards received.
 
-        Merged records cannot be taken apart: parts of the same shards give way to them, and with
-        a shard among them that the peer was not asked for, or that is merged already, none count.
+        Merged records cannot be split by shard. They therefore replace single parts of the same
+        shards, and are dropped as a whole if they contain a shard that the peer was not asked for
+        or that other merged records contain already.
         """
         shards = signature_by_shard.keys()
         if shards - set(asked) or shards & self._merged_signature_by_shard.keys():
             return []
         if len(shards) == 1:
             (shard,) = shards
-            self.take(shard, Part(signature_by_shard[shard], records))
+            self.add(shard, Part(signature_by_shard[shard], records))
         elif shards:
             self._merged_signature_by_shard |= signature_by_shard
             self._merged_records.append(records)
@@ -55,9 +56,9 @@
         return list(shards)
 
     def floor(self) -> bytes:
-        """Return the least record that can still count in the answer; empty when any can.
+        """Return the smallest record that can still be in the answer; empty when any can.
 
-        Parts that merged records may replace do not count: those may hold other records.
+        Parts that merged records may replace are ignored, since the merged records can differ.
         """
         lists = [*self._merged_records]
         lists += [
@@ -69,15 +70,15 @@
         return greatest[-1] if len(greatest) == self._top_k and greatest else b""
 
     def gathered(self) -> Gathered:
-        """Return what is in so far."""
+        """Return everything received so far."""
         signature_by_shard = dict(self._merged_signature_by_shard)
         signature_by_shard |= {name: part.signature for name, part in self._part_by_shard.items()}
         record_lists = [*self._merged_records]
         record_lists += [part.records for part in self._part_by_shard.values()]
         return Gathered(signature_by_shard, record_lists, len(self._shards) - len(self), "")
 
-    def take_unreported(self) -> tuple[dict[str, bytes], list[list[bytes]]]:
-        """Return signatures and records of the parts that were not reported before."""
+    def pop_unreported(self) -> tuple[dict[str, bytes], list[list[bytes]]]:
+        """Return signatures and records of the parts added since the last call."""
         new = {
             name: part for name, part in self._part_by_shard.items() if name not in self._reported
         }
--- a/trackwheel/relay/taken.py
+++ b/trackwheel/relay/taken.py
@@ -83,7 +83,7 @@
     def _report(self, final: bool) -> None:
         """Send the parts that are in and were not sent before."""
         assert self._run is not None, "only a gather that was started has parts"
-        signature_by_shard, records = self._run.task.gather.parts.take_unreported()
+        signature_by_shard, records = self._run.task.gather.parts.pop_unreported()
         if self.forward.repeat:
             # The shards were asked elsewhere too: the sender takes whichever part comes first.
             for (name, signature), part in zip(signature_by_shard.items(), records, strict=True):
