--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -665,8 +665,8 @@
         SHARDS + "test_what_a_report_lacks_goes_in_one_group",
         Mutant(
             "trackwheel/relay/gather.py",
-            "handed = self._hand_elsewhere(lacking, True, now)",
-            "handed: set[str] = set()",
+            "delegated = self._delegate_elsewhere(missing, True, now)",
+            "delegated: set[str] = set()",
         ),
     ),
     Row(
@@ -676,8 +676,8 @@
         SHARDS + "test_declined_shards_go_elsewhere_and_are_no_repeats",
         Mutant(
             "trackwheel/relay/gather.py",
-            "handed = self._hand_elsewhere(declined, repeat, now)",
-            "handed = self._hand_elsewhere(declined, True, now)",
+            "delegated = self._delegate_elsewhere(declined, repeat, now)",
+            "delegated = self._delegate_elsewhere(declined, True, now)",
         ),
     ),
     Row(
@@ -816,7 +816,7 @@
         AT_ONCE,
         "so many shards failed that the least coverage cannot be reached",
         SHARDS + "test_hopeless_query_is_given_up_at_once",
-        Mutant("trackwheel/relay/gather.py", "elif self._hopeless():", "elif False:"),
+        Mutant("trackwheel/relay/gather.py", "elif self._cannot_succeed():", "elif False:"),
     ),
     Row(
         PLATFORM,
@@ -858,8 +858,8 @@
         SHARDS + "test_failed_connections_do_not_enlarge_the_budget",
         Mutant(
             "trackwheel/relay/attempts.py",
-            "if not self._counted:",
-            "if self._arrivals == 0:",
+            "if not self._first_counted:",
+            "if self._deliveries == 0:",
         ),
     ),
     Row(
@@ -965,7 +965,7 @@
         SHARDS + "test_shard_that_peers_give_back_is_not_lost",
         Mutant(
             "trackwheel/relay/gather.py",
-            "self._shards[name].attempts.return_loan()",
+            "self._shards[name].attempts.undo_repeat()",
             "pass",
         ),
     ),
@@ -976,8 +976,8 @@
         SHARDS + "test_shard_whose_targets_are_down_is_asked_seldom",
         Mutant(
             "trackwheel/relay/attempts.py",
-            "awake = [choice for choice in choices if choice.rests_until <= now]",
-            "awake = choices",
+            "reachable = [choice for choice in choices if choice.rests_until <= now]",
+            "reachable = choices",
         ),
     ),
     Row(
--- a/tests/relay/test_crashing_query.py
+++ b/tests/relay/test_crashing_query.py
@@ -10,7 +10,7 @@
 from tests.relay.test_gather import ANSWER_AT, GROUP, SHARDS, Elsewhere, Session
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RepeatBudget
-from trackwheel.relay.gather import ENDS_TARGETS
+from trackwheel.relay.gather import CRASHES_TARGETS
 from trackwheel.relay.gather_models import Gathered, GatherFailed
 from trackwheel.relay.models import Outcome, Passage
 from trackwheel.relay.single import Single, SingleFailed, SinglePlan
@@ -96,7 +96,7 @@
         assert session.end.missing == len(SHARDS)
     else:
         assert isinstance(session.end, GatherFailed)
-        assert session.end[:3] == (True, False, ENDS_TARGETS)
+        assert session.end[:3] == (True, False, CRASHES_TARGETS)
     assert len(session.sent) == len(SHARDS)
 
 
--- a/trackwheel/relay/asking.py
+++ b/trackwheel/relay/asking.py
@@ -80,7 +80,7 @@
             self._shards.hold_back(name, again_at)
         elif refusal is Refusal.DOWN and in_time and not self._plan.repeat:
             # A target that is back before the aim still serves in time; later nobody gains.
-            self._shards.hold_back(name, max(again_at, shard.attempts.rests_until))
+            self._shards.hold_back(name, max(again_at, shard.attempts.backoff_until))
         else:
             self._shards.give_up([name])
             shard.last_failure = shard.last_failure or self._why_lost(name, now)
@@ -109,7 +109,7 @@
         token = self._next_token
         self._next_token += 1
         target = choices[0].target
-        shard.attempts.begin(token, target)
+        shard.attempts.mark_sent(token, target)
         self._shard_name_by_token[token] = name
         if len(shard.attempts.target_by_token) == 1:
             self._shards.schedule_hedge(name, hedge_time(choices, self._plan.answer_at, now))
--- a/trackwheel/relay/attempts.py
+++ b/trackwheel/relay/attempts.py
@@ -1,4 +1,4 @@
-"""The sends of one request, or of one shard of a query, within its limits and its budget."""
+"""The attempts of one request, or of one shard of a query, within its limits and budget."""
 
 from enum import StrEnum
 from typing import Final
@@ -25,9 +25,10 @@
 
 
 class Refusal(StrEnum):
-    """Say why no target is asked: it may be tried again soon, or nothing is left to try.
+    """Why no target is asked.
 
-    `DOWN` says that all targets have refused connections a moment ago.
+    `NOT_NOW`: a later attempt may be allowed. `DOWN`: all targets have just refused connections.
+    `NO_MORE`: no target or no attempt is left.
     """
 
     NOT_NOW = "not_now"
@@ -36,7 +37,7 @@
 
 
 class Attempts:
-    """Follow which targets were asked, how many may have run it, and what it has cost."""
+    """Tracks which targets were asked, how many may have run it, and the repeats spent."""
 
     def __init__(
         self,
@@ -45,78 +46,78 @@
         repeat: bool = False,
         gate: SendGate = OPEN_GATE,
     ) -> None:
-        """Begin; with `repeat`, it was asked before and only targets beside this box are asked.
+        """Initialize; with `repeat`, others have asked before and only the own domain is asked.
 
-        `gate` knows whether the request may go to targets at all.
+        `gate` decides whether the request may be sent to targets at all.
         """
         self._service = service
         self._gate = gate
         self._max_attempts = max_attempts
-        self._only_beside = repeat
+        self._own_domain_only = repeat
         self._tried: set[str] = set()
         self._not_run_at: set[str] = set()
-        self._lent: set[str] = set()
-        self._counted = repeat
+        self._delegated_repeats: set[str] = set()
+        self._first_counted = repeat
         self._sends = 0
         self._runs = 0
-        self._arrivals = int(repeat)
-        self._given = 0
+        self._deliveries = int(repeat)
+        self._delegated_runs = 0
         self._refusals = 0
         self._refused_at = 0.0
-        self.rests_until = 0.0
-        """When a target that rests after refused connections may be asked (monotonic seconds)."""
+        self.backoff_until = 0.0
+        """End of the backoff after refused connections (monotonic seconds)."""
         self.target_by_token: dict[int, Target] = {}
         self.ran = False
-        """Whether a target that has answered or broken off may have run it."""
+        """Whether a target whose request has ended may have run it."""
 
-    def give_away(self, attempts: int, targets: set[str]) -> None:
-        """Leave some attempts, and the targets that they will meet, to a peer."""
-        self._counted = True
-        self._arrivals += 1
+    def delegate(self, attempts: int, targets: set[str]) -> None:
+        """Delegate the first attempts to a peer, which will use some of the given targets."""
+        self._first_counted = True
+        self._deliveries += 1
         self._runs += attempts
-        self._given = attempts
+        self._delegated_runs = attempts
         self._tried |= targets
 
-    def take_back(self) -> None:
-        """Take that a peer has asked no target and leaves that to others."""
-        self._arrivals -= 1
-        self._runs -= self._given
-        self._given = 0
-        self._counted = self._arrivals > 0
+    def undo_delegation(self) -> None:
+        """Revert `delegate`: the peer declined without asking a target."""
+        self._deliveries -= 1
+        self._runs -= self._delegated_runs
+        self._delegated_runs = 0
+        self._first_counted = self._deliveries > 0
 
     @property
     def tried(self) -> frozenset[str]:
-        """Return the targets that it went to, or that a peer may have asked."""
+        """Return the targets that were asked here, or that a peer may have asked."""
         return frozenset(self._tried)
 
     @property
-    def may_run(self) -> bool:
-        """Return whether one more target may run it."""
+    def may_run_again(self) -> bool:
+        """Return whether the limits allow one more target to run it."""
         return self._runs < self._max_attempts and self._sends < MAX_SENDS
 
-    def lend(self, targets: set[str]) -> None:
-        """Leave one more attempt, and the targets that it will meet, to a peer."""
-        self._lent |= targets - self._tried
+    def delegate_repeat(self, targets: set[str]) -> None:
+        """Delegate one repeat to a peer, which will use one of the given targets."""
+        self._delegated_repeats |= targets - self._tried
         self._tried |= targets
         self._runs += 1
-        self._arrivals += 1
+        self._deliveries += 1
 
-    def return_loan(self) -> None:
-        """Take that the peer that was lent an attempt has asked no target."""
+    def undo_repeat(self) -> None:
+        """Revert `delegate_repeat`: the peer declined without asking a target."""
         self._runs -= 1
-        self._arrivals -= 1
+        self._deliveries -= 1
 
-    def forget_lent(self) -> None:
-        """Take that the targets left to peers may be asked again: the peers asked none of them."""
-        self._tried -= self._lent
-        self._lent.clear()
+    def release_delegated_repeats(self) -> None:
+        """Allow the targets of delegated repeats again: the peers have asked none of them."""
+        self._tried -= self._delegated_repeats
+        self._delegated_repeats.clear()
 
-    def pass_over(self, targets: set[str]) -> None:
-        """Leave some targets out of the choice, as if they had been tried."""
+    def exclude(self, targets: set[str]) -> None:
+        """Exclude targets from the choice, as if they had been tried."""
         self._tried |= targets
 
-    def forget_tried(self) -> None:
-        """Take that the targets tried so far may be asked again: nobody knows that they were."""
+    def clear_tried(self) -> None:
+        """Allow all targets again, since it is not known that they were asked."""
         self._tried.clear()
 
     def choose(
@@ -127,55 +128,55 @@
         now: float,
         needed: bool = True,
     ) -> list[Choice] | Refusal:
-        """Return the target to ask now, paid for, and those after it; or why there is none.
+        """Return the ranked targets, the first of which is charged to the budget, or a refusal.
 
-        `needed` says that the answer fails without this.
+        `needed` tells that the answer fails without this attempt.
         """
         passage = self._gate.passage(now)
         if passage is Passage.WAIT:
             return Refusal.NOT_NOW
-        # What may go to one target first has been to some already: the next attempt tries it.
-        if passage is not Passage.OPEN or not self.may_run:
+        # ONE: targets have already ended during it; the client's next attempt will be the trial.
+        if passage is not Passage.OPEN or not self.may_run_again:
             return Refusal.NO_MORE
         choices = self._rank(board, route, now)
         if not choices and board.may_ask_soon(self._service, route, now):
             return Refusal.NOT_NOW
         if not choices:
             return Refusal.NO_MORE
-        awake = [choice for choice in choices if choice.rests_until <= now]
-        if not awake:
-            self.rests_until = min(choice.rests_until for choice in choices)
+        reachable = [choice for choice in choices if choice.rests_until <= now]
+        if not reachable:
+            self.backoff_until = min(choice.rests_until for choice in choices)
             return Refusal.DOWN
-        choices = awake
-        if self._rests(choices, now):
+        choices = reachable
+        if self._is_in_refusal_backoff(choices, now):
             return Refusal.NOT_NOW
-        if not self._pay(budget, now, needed):
+        if not self._spend_budget(budget, now, needed):
             return Refusal.NOT_NOW if budget.allows_any else Refusal.NO_MORE
         return choices
 
-    def _rests(self, choices: list[Choice], now: float) -> bool:
-        """Return whether all targets refused it a moment ago."""
+    def _is_in_refusal_backoff(self, choices: list[Choice], now: float) -> bool:
+        """Return whether all targets have refused it so recently that it should wait."""
         if choices[0].target.instance not in self._tried or self._refusals < len(choices):
             return False
         doublings = self._refusals - len(choices)
-        rest_s = choices[0].usual_s * REFUSED_REST_PACES * 2.0**doublings
-        return now < self._refused_at + rest_s
+        backoff_s = choices[0].usual_s * REFUSED_REST_PACES * 2.0**doublings
+        return now < self._refused_at + backoff_s
 
-    def begin(self, token: int, target: Target) -> None:
-        """Take that it goes to a target."""
+    def mark_sent(self, token: int, target: Target) -> None:
+        """Record that it is sent to a target."""
         self.target_by_token[token] = target
         self._tried.add(target.instance)
         self._sends += 1
         self._runs += 1
-        self._arrivals += 1
+        self._deliveries += 1
 
-    def succeed(self, token: int) -> None:
-        """Take that a target answered well."""
+    def mark_succeeded(self, token: int) -> None:
+        """Record a successful answer."""
         del self.target_by_token[token]
         self.ran = True
 
-    def fail(self, token: int, outcome: Outcome, now: float) -> None:
-        """Take how it failed at a target."""
+    def mark_failed(self, token: int, outcome: Outcome, now: float) -> None:
+        """Record a failure at a target."""
         target = self.target_by_token.pop(token)
         if outcome not in NOTHING_RAN:
             self.ran = True
@@ -187,27 +188,27 @@
         if outcome is not Outcome.ELSEWHERE:
             self._not_run_at.add(target.instance)
         if outcome is Outcome.NOT_SENT:
-            self._arrivals -= 1
+            self._deliveries -= 1
 
     def _rank(self, board: Board, route: RouteKey, now: float) -> list[Choice]:
-        """Return targets to ask: those that were not tried, then those that did not run it."""
-        fresh = board.rank(self._service, route, now, self.tried, self._only_beside)
-        if fresh or self.target_by_token:
-            return fresh
+        """Return the untried targets, or if there are none those that did not run it."""
+        untried = board.rank(self._service, route, now, self.tried, self._own_domain_only)
+        if untried or self.target_by_token:
+            return untried
         ran = frozenset(self._tried - self._not_run_at)
-        return board.rank(self._service, route, now, ran, self._only_beside)
+        return board.rank(self._service, route, now, ran, self._own_domain_only)
 
-    def _pay(self, budget: RepeatBudget, now: float, needed: bool) -> bool:
-        if not self._counted:
-            self._counted = True
+    def _spend_budget(self, budget: RepeatBudget, now: float, needed: bool) -> bool:
+        if not self._first_counted:
+            self._first_counted = True
             budget.first(self._service, now)
             return True
-        # What could not be sent did not arrive, so that another target is not a repeat yet.
-        return self._arrivals == 0 or budget.take(self._service, now, needed)
+        # A request that no target has received yet is not a repeat at another target.
+        return self._deliveries == 0 or budget.take(self._service, now, needed)
 
 
 def hedge_time(choices: list[Choice], answer_at: float, now: float) -> float:
-    """Return when a second target is asked: late enough to be rare, early enough to help."""
+    """Return when to hedge: late enough to be rare, early enough to meet the target latency."""
     if len(choices) < 2:
         return NEVER
     earliest = now + HEDGE_EARLIEST_PACES * choices[0].usual_s
--- a/trackwheel/relay/board.py
+++ b/trackwheel/relay/board.py
@@ -293,7 +293,7 @@
         cost_s *= 1.0 + self._random.random() * JITTER
         last_resort = target.doubtful or record.is_out(now)
         usual_s = self._usual(target, route)
-        return Choice(target, usual_s, expected_s, cost_s, last_resort, record.rests_until)
+        return Choice(target, usual_s, expected_s, cost_s, last_resort, record.backoff_until)
 
     def _expected(self, target: Target, record: TargetRecord, route: RouteKey, now: float) -> float:
         """Return how long a request sent now is expected to take (seconds)."""
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -1,15 +1,17 @@
-"""The decisions about one query over many shards, without I/O.
-
-Shards with a target near this box are asked directly, each of its best target. The others are
-handed in groups to peers beside their targets, which answer with merged records. Shards that are
-late are asked for elsewhere while that can still answer before the aim: through a peer beside
-other targets, which has connections to them, or else directly. A shard whose target failed is
-asked again at once; the shards of a peer that shows no life are asked around it. A shard that all
-its targets have refused, or for which no repeat is allowed now, is held back and tried again soon;
-part of the allowance is kept for shards without which the answer fails.
-
-The query ends when every shard is in, at its aim with enough of them, or as soon as enough are
-in after that. It is given up at once when enough can no longer come.
+"""Decision logic of one scatter-gather query over many shards, without I/O.
+
+Shards with a target in this box's failure domain are requested directly, each from its best target.
+The others are delegated in groups to peers in the failure domains of their targets, which answer
+with merged records. Late shards are requested a second time while the answer can still meet the
+target latency: through a peer in the failure domain of other targets, which has connections to
+them, or else directly. A shard whose target failed is retried at once; the shards of a silent peer
+are requested without it. A shard that all its targets have refused, or for which the repeat budget
+is exhausted, is held back and retried soon; part of the budget is reserved for shards without which
+the answer fails.
+
+The query ends when every shard was received, at the target latency if coverage is sufficient, or
+as soon after that as coverage is sufficient. It fails at once when sufficient coverage can no
+longer be reached.
 """
 
 from collections.abc import Sequence
@@ -35,12 +37,12 @@
 from trackwheel.relay.parts import ReceivedParts
 from trackwheel.relay.shards import ShardTracker
 
-ENDS_TARGETS: Final = "targets end under it"
-"""Why a query is given up that is held."""
+CRASHES_TARGETS: Final = "targets end under it"
+"""Failure reason of a quarantined query."""
 
 
 class Gather:
-    """Decide, from events and the time, what one query sends and when it ends."""
+    """State machine of one query: takes events and the time, returns commands."""
 
     def __init__(
         self,
@@ -64,52 +66,53 @@
         self.ended = False
 
     def start(self, now: float) -> list[GatherCommand]:
-        """Hand the groups to their peers and ask the best target of each other shard."""
+        """Delegate the groups to their peers and request each other shard from its best target."""
         for group in self.plan.groups:
             self._commands.append(self._handing.hand_over(group))
-        own = self._shards.ungrouped()
+        ungrouped = self._shards.ungrouped()
         reason = "repeat" if self.plan.repeat else "first"
-        left_to_others = self._leave_to_others(own, now)
-        for name in own:
-            if name not in left_to_others:
+        delegated = self._delegate_or_decline(ungrouped, now)
+        for name in ungrouped:
+            if name not in delegated:
                 self._ask(name, reason, now)
         if self.plan.repeat:
-            self._return_unasked(own)
-        return self._finish_or_go_on(now)
+            self._decline_unasked(ungrouped)
+        return self._finish_if_done(now)
 
-    def _return_unasked(self, names: Sequence[str]) -> None:
-        """Give back the shards for which no target may be asked here: they are not tried yet."""
+    def _decline_unasked(self, names: Sequence[str]) -> None:
+        """Decline the shards for which this box may ask no target: they count as not tried."""
         unasked = tuple(name for name in names if not self._shards[name].is_pending)
         if unasked:
             self._commands.append(Declined(unasked))
 
-    def _leave_to_others(self, names: Sequence[str], now: float) -> set[str]:
-        """Leave shards to other boxes whose best target is not beside this one; return which."""
+    def _delegate_or_decline(self, names: Sequence[str], now: float) -> set[str]:
+        """Delegate or decline shards whose best target is in another domain; return their names."""
         if self.plan.repeat:
             return set()
         better = [name for name in names if self._is_better_elsewhere(name, now)]
         if not self.plan.partial:
-            return self._hand_past_own(better, now)
+            return self._delegate_outside_domain(better, now)
         self._shards.give_up(better)
         if better:
             self._commands.append(Declined(tuple(better)))
         return set(better)
 
-    def _hand_past_own(self, names: Sequence[str], now: float) -> set[str]:
-        """Hand shards to peers beside targets of other failure domains; return which were."""
+    def _delegate_outside_domain(self, names: Sequence[str], now: float) -> set[str]:
+        """Delegate shards to peers in other failure domains; return those that were delegated."""
         for name in names:
-            beside = {t.instance for t in self._board.targets(name) if self._board.is_beside(t)}
-            self._shards[name].attempts.pass_over(beside)
-        handed = self._hand_elsewhere(names, False, now)
+            local = {t.instance for t in self._board.targets(name) if self._board.is_beside(t)}
+            self._shards[name].attempts.exclude(local)
+        delegated = self._delegate_elsewhere(names, False, now)
         for name in names:
-            if name not in handed:
-                self._shards[name].attempts.forget_tried()
-        return handed
+            if name not in delegated:
+                self._shards[name].attempts.clear_tried()
+        return delegated
 
     def _is_better_elsewhere(self, name: str, now: float) -> bool:
-        """Return whether the targets beside this box are worse than others, and worse than usual.
+        """Return whether this domain's targets are slower than others and than usual.
 
-        Where all are slow, as under too much load, shards stay: others would send theirs here.
+        Where all targets are slow, as under overload, shards stay here: otherwise boxes would pass
+        them to each other.
         """
         for choice in self._board.rank(name, self.plan.route, now, only_beside=True):
             if not choice.last_resort and choice.cost_s < DECLINE_PACES * choice.usual_s:
@@ -120,29 +123,29 @@
     def part_ended(
         self, token: int, end: TargetEnd, part: Part | None, now: float
     ) -> list[GatherCommand]:
-        """Take the end of one request; `part` is there when it brought the shard's records."""
+        """Handle the end of one request; `part` holds the shard's records if it succeeded."""
         name = self._asking.ended(token)
         if self.ended or name is None:
             return []
         shard = self._shards[name]
         if part is not None:
-            shard.attempts.succeed(token)
+            shard.attempts.mark_succeeded(token)
             self.parts.add(name, part)
-            self._came_in(name)
-            return self._finish_or_go_on(now)
-        where = shard.attempts.target_by_token[token].instance
-        shard.last_failure = f"{end.outcome.value} at {where}"
-        shard.attempts.fail(token, end.outcome, now)
+            self._mark_received(name)
+            return self._finish_if_done(now)
+        instance = shard.attempts.target_by_token[token].instance
+        shard.last_failure = f"{end.outcome.value} at {instance}"
+        shard.attempts.mark_failed(token, end.outcome, now)
         if end.outcome is Outcome.CLOSED:
             self._closings.own += 1
-        if self._is_doubtful():
+        if self._suspects_own_query():
             self._asking.hold_back(name, now)
         else:
             self._ask(name, end.outcome.value, now)
-        return self._finish_or_go_on(now)
+        return self._finish_if_done(now)
 
     def group_accepted(self, number: int) -> None:
-        """Take that a peer works on its shards."""
+        """Handle a peer's acceptance of a group."""
         group = self._groups.get(number)
         if group is not None:
             group.accept()
@@ -157,10 +160,10 @@
         now: float,
         closed: int = 0,
     ) -> list[GatherCommand]:
-        """Take parts that a peer merged; after the final ones it sends no more.
+        """Handle parts that a peer merged; `final` marks its last message for the group.
 
-        `ran` says whether targets may have run any of its shards, `closed` how many targets ended
-        the connection under one so far.
+        `ran` tells whether targets may have run any of the group's shards, `closed` how many
+        targets have closed the connection during such a request so far.
         """
         group = self._groups.get(number)
         if self.ended or group is None:
@@ -169,15 +172,15 @@
         self._closings.by_group[number] = closed
         self._peers_ran |= ran
         for name in self.parts.add_merged(group.plan.shards, signature_by_shard, records):
-            self._came_in(name)
+            self._mark_received(name)
         if final:
-            self._release(number, "lacking", now)
+            self._close_group(number, "lacking", now)
         elif not group.plan.repeat:
             self._ask_elsewhere(self._handing.shards_of(number), "hedge", now)
-        return self._finish_or_go_on(now)
+        return self._finish_if_done(now)
 
     def group_declined(self, number: int, shards: Sequence[str], now: float) -> list[GatherCommand]:
-        """Take that a peer has asked no target for shards and leaves them to others."""
+        """Handle a peer's refusal of shards for which it has asked no target."""
         if self.ended or number not in self._groups:
             return []
         repeat = self._groups[number].plan.repeat
@@ -185,84 +188,84 @@
         for name in declined:
             self._shards[name].groups.discard(number)
             if repeat:
-                self._shards[name].attempts.return_loan()
+                self._shards[name].attempts.undo_repeat()
             else:
-                self._shards[name].attempts.take_back()
-        handed = self._hand_elsewhere(declined, repeat, now)
+                self._shards[name].attempts.undo_delegation()
+        delegated = self._delegate_elsewhere(declined, repeat, now)
         for name in declined:
-            if name not in handed:
-                self._ask_after_all_declined(name, repeat, now)
-        return self._finish_or_go_on(now)
+            if name not in delegated:
+                self._ask_after_decline(name, repeat, now)
+        return self._finish_if_done(now)
 
-    def _ask_after_all_declined(self, name: str, repeat: bool, now: float) -> None:
-        """Ask any target for a shard that nobody else asks for, or ask the peers again later."""
+    def _ask_after_decline(self, name: str, repeat: bool, now: float) -> None:
+        """Ask any target for a shard that peers declined, or allow the peers to be asked again."""
         shard = self._shards[name]
         if not repeat:
-            shard.attempts.forget_tried()
+            shard.attempts.clear_tried()
         elif not shard.groups:
-            shard.attempts.forget_lent()
+            shard.attempts.release_delegated_repeats()
         self._ask(name, DECLINED, now)
 
     def group_lost(self, number: int, now: float) -> list[GatherCommand]:
-        """Take that the link to a peer broke, or that it cannot gather."""
+        """Handle the loss of the link to a peer, or a peer that cannot gather."""
         if self.ended or number not in self._groups:
             return []
-        self._lose(number, "peer lost", now)
-        return self._finish_or_go_on(now)
+        self._abandon_group(number, "peer lost", now)
+        return self._finish_if_done(now)
 
     def tick(self, now: float) -> list[GatherCommand]:
-        """Do what is due: second targets, a look at peers, the end of the query."""
+        """Do what is due: hedged requests, checks of peers, retries, the end of the query."""
         if self.ended:
             return []
         for number in self._groups.pop_overdue(now):
-            self._doubt(number, now)
+            self._handle_overdue_peer(number, now)
         self._ask_elsewhere(self._shards.pop_late(now), "hedge", now)
         self._retry(now)
-        return self._finish_or_go_on(now)
+        return self._finish_if_done(now)
 
     def cancel(self) -> list[GatherCommand]:
-        """Take everything back since nobody waits for the answer any more."""
+        """Cancel all outstanding requests: the client is gone."""
         if not self.ended:
             self._end()
         commands, self._commands = self._commands, []
         return commands
 
     def next_wake(self) -> float:
-        """Return when `tick` is next needed (monotonic seconds)."""
+        """Return when `tick` is due next (monotonic seconds)."""
         times = [self.plan.end_at, self._groups.next_check_at()]
         times += [self._shards.next_hedge(), self._shards.next_retry()]
-        if self._enough() and not self.plan.partial:
+        if self._is_coverage_reached() and not self.plan.partial:
             times.append(self.plan.answer_at)
         return min(times)
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether a target may have run any shard, here or at a peer."""
+        """Return whether a target may have run any shard, asked by this box or a peer."""
         return self._peers_ran or any(
             shard.is_pending or shard.attempts.ran for shard in self._shards.all
         )
 
-    def _doubt(self, number: int, now: float) -> None:
-        """Go around a peer that did not accept, or did not report in time."""
+    def _handle_overdue_peer(self, number: int, now: float) -> None:
+        """Request the shards of a peer elsewhere that did not accept or report in time."""
         group = self._groups[number]
         self._commands.append(PeerSilent(group.plan.address, group.accepted))
         if not group.accepted:
             self._commands.append(CancelGroup(number, group.plan.address))
-            self._lose(number, "peer silent", now)
+            self._abandon_group(number, "peer silent", now)
             return
-        # Its parts still count when they come.
+        # The group stays open: its parts still count if they arrive.
         self._ask_elsewhere(self._handing.shards_of(number), "peer late", now)
 
-    def _lose(self, number: int, reason: str, now: float) -> None:
-        """Await nothing more of a peer that told nothing; its targets may be asked again."""
-        # It may have asked them all the same.
+    def _abandon_group(self, number: int, reason: str, now: float) -> None:
+        """Close a group whose peer reported nothing; its targets may be asked again."""
+        # The peer may have asked targets without reporting it.
         self._peers_ran = True
         for name in self._handing.shards_of(number):
-            self._shards[name].attempts.forget_tried()
-        self._release(number, reason, now)
+            self._shards[name].attempts.clear_tried()
+        self._close_group(number, reason, now)
 
-    def _release(self, number: int, reason: str, now: float) -> None:
-        """Await nothing more of a peer; ask elsewhere for what it did not bring."""
+    def _close_group(self, number: int, reason: str, now: float) -> None:
+        """Close a group and request the shards elsewhere that its peer did not deliver."""
         shards = self._handing.shards_of(number)
         self._groups.pop(number)
         for name in shards:
@@ -272,81 +275,82 @@
         )
 
     def _ask_elsewhere(self, names: Sequence[str], reason: str, now: float) -> None:
-        """Ask once more for shards that are not in: through peers beside other targets, or not."""
-        lacking = [name for name in names if name not in self.parts]
-        if self._is_doubtful():
-            for name in lacking:
+        """Request missing shards once more, through peers near other targets or else directly."""
+        missing = [name for name in names if name not in self.parts]
+        if self._suspects_own_query():
+            for name in missing:
                 self._asking.hold_back(name, now)
             return
-        handed = self._hand_elsewhere(lacking, True, now)
-        for name in lacking:
-            if name not in handed:
+        delegated = self._delegate_elsewhere(missing, True, now)
+        for name in missing:
+            if name not in delegated:
                 self._ask(name, reason, now)
 
-    def _hand_elsewhere(self, names: Sequence[str], repeat: bool, now: float) -> set[str]:
-        """Hand shards to peers beside targets that were not tried; return which were handed."""
+    def _delegate_elsewhere(self, names: Sequence[str], repeat: bool, now: float) -> set[str]:
+        """Delegate shards to peers near untried targets; return those that were delegated."""
         sent = self._handing.hand_elsewhere(names, repeat, now)
         self._commands += sent
         return {name for command in sent for name in command.group.shards}
 
-    def _is_doubtful(self) -> bool:
-        """Return whether this query may be what ends targets, and more will be known soon.
+    def _suspects_own_query(self) -> bool:
+        """Return whether this query may be crashing its targets and pending answers will tell.
 
-        Targets have ended the connection under it, none has answered yet, and answers are still
-        awaited. Asking the second target of each shard meanwhile would lose those too: 40 targets
-        and not 20 in an incident. Where others fail it costs half of the usual time of an answer.
+        Targets have closed the connection during it, none has answered yet, and answers are still
+        outstanding. Asking the second target of each shard now could crash those as well: in an
+        incident one query took down 40 targets instead of 20. If the targets failed for another
+        reason, the wait costs half of the usual response time.
         """
         return self._closings.any and not len(self.parts) and self._shards.awaits_answer
 
     @property
     def closed(self) -> int:
-        """Return how many targets ended the connection under the query, here or at peers."""
+        """Return how many targets closed the connection during the query, here or at peers."""
         return self._closings.total
 
     def _retry(self, now: float) -> None:
-        """Ask for the shards that were held back, if they may be asked for now."""
+        """Request the shards whose retry is due."""
         due = self._shards.due_retries(now)
-        if self.plan.partial and not self._is_doubtful():
+        if self.plan.partial and not self._suspects_own_query():
             for name in due:
                 self._ask(name, "held_back", now)
             return
         self._ask_elsewhere(due, "held_back", now)
 
     def _ask(self, name: str, reason: str, now: float) -> None:
-        """Ask a target for a shard, now or soon, or take it as lost."""
+        """Request a shard from a target now, or hold it back, or give it up."""
         sent = self._asking.ask_or_hold_back(name, reason, now)
         if sent is not None:
             self._commands.append(sent)
 
-    def _enough(self) -> bool:
-        found = len(self.parts)
-        return found > 0 and len(self.plan.shards) - found <= self._shards.max_missing
+    def _is_coverage_reached(self) -> bool:
+        received = len(self.parts)
+        return received > 0 and len(self.plan.shards) - received <= self._shards.max_missing
 
-    def _hopeless(self) -> bool:
-        """Return whether too many shards can no longer come."""
-        lost = self._shards.given_up_count
-        return lost > self._shards.max_missing or lost == len(self.plan.shards)
+    def _cannot_succeed(self) -> bool:
+        """Return whether too many shards were given up for a sufficient answer."""
+        given_up = self._shards.given_up_count
+        return given_up > self._shards.max_missing or given_up == len(self.plan.shards)
 
-    def _finish_or_go_on(self, now: float) -> list[GatherCommand]:
+    def _finish_if_done(self, now: float) -> list[GatherCommand]:
         if not self.ended:
-            self._finish(now)
+            self._check_end(now)
         commands, self._commands = self._commands, []
         return commands
 
-    def _finish(self, now: float) -> None:
+    def _check_end(self, now: float) -> None:
         shut = self.plan.gate.passage(now) is Passage.SHUT
-        waits = self._shards.can_receive_more and not shut
+        pending = self._shards.can_receive_more and not shut
         if len(self.parts) == len(self.plan.shards):
             self._answer("whole")
         elif self.plan.partial:
-            if now >= self.plan.end_at or not waits:
-                self._answer("time is up" if waits else "nothing more can come")
+            if now >= self.plan.end_at or not pending:
+                self._answer("time is up" if pending else "nothing more can come")
         elif shut:
-            self._fail(ENDS_TARGETS, False)
-        elif self._hopeless():
+            self._fail(CRASHES_TARGETS, False)
+        elif self._cannot_succeed():
             self._fail("too few shards can answer", False)
-        elif self._enough() and (now >= self.plan.answer_at or not waits):
-            self._answer("aim" if waits else "nothing more can come")
+        elif self._is_coverage_reached() and (now >= self.plan.answer_at or not pending):
+            self._answer("aim" if pending else "nothing more can come")
         elif now >= self.plan.end_at:
             self._fail("time is up", True)
 
@@ -363,7 +367,7 @@
         self._commands.append(GatherFailed(ran, late, reason, lacking))
 
     def _lacking(self) -> str:
-        """Return which shards are not in and why, for the log."""
+        """Return which shards are missing and why, for the log."""
         return self._shards.describe_missing(LOGGED_SHARDS, self._groups.address)
 
     def _end(self) -> None:
@@ -374,7 +378,7 @@
             if any(name not in self.parts for name in group.plan.shards):
                 self._commands.append(CancelGroup(number, group.plan.address))
 
-    def _came_in(self, name: str) -> None:
-        """Await nothing more for a shard."""
+    def _mark_received(self, name: str) -> None:
+        """Record a received shard and cancel its other requests."""
         self._commands += self._asking.withdraw(self._shards[name])
         self._shards.mark_received(name)
--- a/trackwheel/relay/gather_models.py
+++ b/trackwheel/relay/gather_models.py
@@ -1,4 +1,4 @@
-"""What a gather takes and gives: plans, commands and ends."""
+"""Plans, commands and results of a scatter-gather query."""
 
 from typing import NamedTuple, Protocol
 
@@ -6,10 +6,10 @@
 
 
 class GroupPlan(NamedTuple):
-    """Shards that a peer is asked for; times are monotonic seconds.
+    """Shards to delegate to one peer; times are monotonic seconds.
 
-    The peer accepts before `accept_by` and reports what is in before `report_by`. With `repeat`,
-    other targets were asked for the shards before.
+    The peer has to accept by `accept_by` and to report what it has received by `report_by`. With
+    `repeat`, other targets were asked for the shards before.
     """
 
     address: str
@@ -21,13 +21,13 @@
 
 
 class GatherPlan(NamedTuple):
-    """Say what a query needs; times are monotonic seconds.
+    """Parameters of one query; times are monotonic seconds.
 
-    `answer_at` is the last moment to answer within the aim, `end_at` that to answer at all.
-    With `partial`, the answer is a part of a peer's: whatever is in at `end_at` is given, and
-    `least_coverage` is what the peer can do with. With `repeat`, others were asked before: only
-    targets in this box's failure domain are asked now. `gate` knows whether the query may go to
-    targets at all.
+    `answer_at` is the last moment to answer within the target latency, `end_at` the last moment to
+    answer at all. With `partial`, the query is a group delegated by a peer: whatever was received
+    by `end_at` is returned, and `least_coverage` is the coverage that the peer needs. With
+    `repeat`, other targets were asked before, and only targets in this box's failure domain are
+    asked. `gate` decides whether the query may be sent to targets at all.
     """
 
     route: RouteKey
@@ -44,12 +44,12 @@
 
     @property
     def peer_attempts(self) -> int:
-        """Return how many targets a peer may run a shard on; what is left is this box's own."""
+        """Return on how many targets a peer may run a shard; this box keeps one attempt."""
         return max(1, self.max_attempts - 1)
 
 
 class Regrouping(Protocol):
-    """Find peers beside other targets for shards that are late or failed."""
+    """Finds peers near other targets for shards that are late or failed."""
 
     def groups_elsewhere(
         self,
@@ -58,14 +58,14 @@
         repeat: bool,
         now: float,
     ) -> tuple[GroupPlan, ...]:
-        """Return groups beside targets that were not tried; no shard is in two of them.
+        """Return disjoint groups for peers in the failure domains of untried targets.
 
-        `repeat` says whether targets were asked for the shards before.
+        `repeat` tells whether targets were asked for the shards before.
         """
 
 
 class SendPart(NamedTuple):
-    """Command: ask a target for a shard."""
+    """Command: request a shard from a target."""
 
     token: int
     shard: str
@@ -74,16 +74,17 @@
 
 
 class CancelPart(NamedTuple):
-    """Command: take an unanswered request back."""
+    """Command: cancel an outstanding request."""
 
     token: int
     target: Target
 
 
 class SendGroup(NamedTuple):
-    """Command: hand a group of shards to its peer; records below `floor` are not needed.
+    """Command: delegate a group of shards to its peer.
 
-    The answer can do with `least_coverage` of the group.
+    Records that are not above `floor` are not needed; `least_coverage` is the share of the group
+    that the answer needs.
     """
 
     number: int
@@ -93,27 +94,27 @@
 
 
 class CancelGroup(NamedTuple):
-    """Command: tell a peer that its shards are not awaited any more."""
+    """Command: tell a peer that its group is no longer needed."""
 
     number: int
     address: str
 
 
 class Declined(NamedTuple):
-    """Command: tell the sender of a group that no target was asked for some of its shards."""
+    """Command: tell the sender of a group for which of its shards no target was asked."""
 
     shards: tuple[str, ...]
 
 
 class PeerSilent(NamedTuple):
-    """Command: note that a peer showed no life in time."""
+    """Command: record that a peer did not accept or report in time."""
 
     address: str
     accepted: bool
 
 
 class Gathered(NamedTuple):
-    """Command: answer with these signatures and the greatest of these records."""
+    """Command: answer with these signatures and the top records of these lists."""
 
     signature_by_shard: dict[str, bytes]
     record_lists: list[list[bytes]]
@@ -123,7 +124,7 @@
 
 
 class GatherFailed(NamedTuple):
-    """Command: tell the client that no answer comes; `ran` says whether a target may have run."""
+    """Command: fail the query; `ran` tells whether a target may have run it."""
 
     ran: bool
     late: bool
--- a/trackwheel/relay/handing.py
+++ b/trackwheel/relay/handing.py
@@ -41,9 +41,9 @@
             self._shards.mark_asked(name)
             beside = {t.instance for t in self._board.targets(name) if t.place == group.place}
             if group.repeat:
-                shard.attempts.lend(beside)
+                shard.attempts.delegate_repeat(beside)
             else:
-                shard.attempts.give_away(self._plan.peer_attempts, beside)
+                shard.attempts.delegate(self._plan.peer_attempts, beside)
         floor = self._parts.floor() if group.repeat else b""
         return SendGroup(number, group, floor, handed.least_coverage)
 
@@ -52,7 +52,7 @@
         tried_by_shard = {
             name: self._shards[name].attempts.tried
             for name in names
-            if self._shards[name].attempts.may_run
+            if self._shards[name].attempts.may_run_again
         }
         if self._regrouping is None or not tried_by_shard or now >= self._plan.end_at:
             return []
--- a/trackwheel/relay/record.py
+++ b/trackwheel/relay/record.py
@@ -38,7 +38,7 @@
         self.flight_by_token: dict[object, Flight] = {}
         self.ejected_until = 0.0
         self.gone_until = 0.0
-        self.rests_until = 0.0
+        self.backoff_until = 0.0
         self.told_down_until = 0.0
         self.answered_at = float("-inf")
         self.cold_until = float("-inf")
@@ -102,7 +102,7 @@
         self._failure_at = now
         if outcome is not Outcome.NOT_SENT:
             self._refused_in_a_row = 0
-            self.rests_until = 0.0
+            self.backoff_until = 0.0
         if outcome is Outcome.OK:
             self._failures_in_a_row = 0
             self.ejected_until = self.gone_until = self.told_down_until = 0.0
@@ -118,7 +118,7 @@
         elif outcome is Outcome.NOT_SENT:
             self.ejected_until = now + DISCONNECT_EJECT_S
             rest_s = DOWN_REST_S * 2.0**self._refused_in_a_row
-            self.rests_until = now + min(LONGEST_DOWN_REST_S, rest_s)
+            self.backoff_until = now + min(LONGEST_DOWN_REST_S, rest_s)
             self._refused_in_a_row += 1
         elif self._failures_in_a_row >= EJECT_AFTER:
             doublings = self._failures_in_a_row - EJECT_AFTER
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -18,7 +18,7 @@
     RETURN_MARGIN_S,
 )
 from trackwheel.relay.early import EarlyRequests
-from trackwheel.relay.gather import ENDS_TARGETS, Gather
+from trackwheel.relay.gather import CRASHES_TARGETS, Gather
 from trackwheel.relay.gather_models import Gathered, GatherFailed, GatherPlan
 from trackwheel.relay.grouping import GroupPlanner
 from trackwheel.relay.groups import PeerGroups
@@ -118,7 +118,7 @@
             fingerprint=caller.fingerprint.hex(),
             left_s=round(waits_s, 1),
         )
-        answer = self._wire.refusal(HTTPStatus.SERVICE_UNAVAILABLE, waits_s, ENDS_TARGETS)
+        answer = self._wire.refusal(HTTPStatus.SERVICE_UNAVAILABLE, waits_s, CRASHES_TARGETS)
         exchange.respond(answer)
         return True
 
@@ -179,7 +179,7 @@
                 return
             failed = result
             if isinstance(failed, SingleAnswered):
-                failed = SingleFailed(True, False, ENDS_TARGETS)
+                failed = SingleFailed(True, False, CRASHES_TARGETS)
             self._log_end(caller, route, version, failed)
             self._refuse(exchange, failed)
 
--- a/trackwheel/relay/single.py
+++ b/trackwheel/relay/single.py
@@ -87,10 +87,10 @@
         if self.ended or token not in self._attempts.target_by_token:
             return []
         if end.outcome is Outcome.OK and end.answer is not None:
-            self._attempts.succeed(token)
+            self._attempts.mark_succeeded(token)
             self._answer(end.answer)
             return self._take_commands()
-        self._attempts.fail(token, end.outcome, now)
+        self._attempts.mark_failed(token, end.outcome, now)
         if end.outcome is Outcome.FAILED:
             self._failure = end.answer
         may_repeat = self.plan.repeatable or not self._attempts.ran
@@ -127,7 +127,7 @@
 
     def _wait_for_rest(self, now: float) -> bool:
         """Wait for the first target that rests after refused connections, if that is in time."""
-        rests_until = self._attempts.rests_until
+        rests_until = self._attempts.backoff_until
         if not now < rests_until < self.plan.answer_at:
             return False
         self._retry_at = rests_until
@@ -143,7 +143,7 @@
         token = self._next_token
         self._next_token += 1
         target = choices[0].target
-        self._attempts.begin(token, target)
+        self._attempts.mark_sent(token, target)
         if self.plan.repeatable and token == 0:
             self._hedge_at = hedge_time(choices, self.plan.answer_at, now)
         self._commands.append(SendSingle(token, target, reason))
