--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -1,4 +1,4 @@
-"""Targets, boards and ends that the tests of the relay share."""
+"""Targets, boards and results shared by the relay tests."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 THERE = Place("there", "there-a")
 ROUTE = RouteKey("r", 0.2)
 OLD = -100.0
-"""The birth of a box that has been there for long."""
+"""Start time of a box that has been running for long (monotonic seconds)."""
 BoardMaker = Callable[..., Board]
 
 
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def board() -> Board:
-    """Return a board with shards s0 to s9, each with a target here and one there."""
+    """Return a board with shards s0 to s9, each with one near and one far target."""
     board = Board(HERE, seed=1)
     board.set_targets(
         {
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 def budget() -> RepeatBudget:
-    """Return a budget that is large enough not to matter."""
+    """Return a budget that is never exhausted."""
     budget = RepeatBudget(BudgetRule(10.0, 10.0, 1000.0), OLD)
     budget.set_members(1, 0.0)
     return budget
--- a/tests/relay/test_crashing_query.py
+++ b/tests/relay/test_crashing_query.py
@@ -1,7 +1,7 @@
-"""A query under which targets end: what it still asks, and how it is given up.
+"""A query that crashes its targets: which targets it still asks, and how it fails.
 
-In an incident the second target of each shard was asked as soon as the first one had ended under
-the query, so that one query ended all forty targets of its service and not twenty.
+Guards against asking the second target of each shard as soon as the first one has crashed: in an
+incident one query crashed all forty targets of its service instead of twenty.
 """
 
 import pytest
@@ -17,7 +17,7 @@
 
 
 class Gate:
-    """Let a request pass or not, as a test says."""
+    """A gate whose answer the test sets."""
 
     def __init__(self) -> None:
         self.now = Passage.OPEN
--- a/tests/relay/test_gather.py
+++ b/tests/relay/test_gather.py
@@ -1,4 +1,4 @@
-"""The gather: groups, hedges, retries, the aim and giving up, in tables of events."""
+"""Scatter-gather queries: groups, hedged requests, retries, target latency and failure."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 
 
 class Elsewhere:
-    """Hand whatever is late to one peer, and remember what was tried before."""
+    """Delegate all shards to one peer and record which targets were tried before."""
 
     def __init__(self) -> None:
         self.tried_by_shard: dict[str, frozenset[str]] = {}
@@ -53,7 +53,7 @@
 
 
 class Session:
-    """Drive one gather and remember what it asked for."""
+    """Run one query and record its commands."""
 
     def __init__(
         self,
@@ -139,7 +139,7 @@
 
 
 def refuse_connection(board: Board, session: Session, shard: str, now: float) -> None:
-    """Let the request for a shard end as the shell does when its target refuses connections."""
+    """End the request for a shard as the transport does when its target refuses connections."""
     token = session.token(shard, "")
     target = session.open[token].target
     board.sent(target, token, ROUTE, now)
@@ -216,7 +216,7 @@
 def test_hopeless_query_is_given_up_at_once(
     board: Board, no_budget: RepeatBudget, outcome: Outcome, ran: bool
 ) -> None:
-    """A refusal may say that nothing ran only when no target may have run a shard."""
+    """A failure reports that nothing ran only if no target can have run a shard."""
     session = Session(board, no_budget, least=0.1)
     while session.end is None:
         session.fail(next(iter(session.open.values())).shard, outcome)
@@ -235,7 +235,7 @@
 
 
 def test_failed_connections_do_not_enlarge_the_budget(board: Board) -> None:
-    """A request that could not be sent is asked for once, however often it is tried."""
+    """A request that could not be sent counts as one first request, however often it is tried."""
     budget = RepeatBudget(BudgetRule(0.2, 10.0, 0.0), 0.0)
     for _ in range(10):
         session = Session(board, budget)
@@ -292,13 +292,17 @@
 
 
 class TestHeldBack:
-    """Shards that may not be asked now, but soon."""
+    """Shards that may not be requested now but will be retried."""
 
     @pytest.mark.parametrize("rounds", [1, 2], ids=["refused-once", "refused-again"])
     def test_shard_that_all_targets_refused_is_asked_again_within_the_aim(
         self, board: Board, budget: RepeatBudget, rounds: int
     ) -> None:
-        """Targets that shed six in ten were given up on after 3 to 42 ms of a client's 3 s."""
+        """Guards against giving up early on overloaded targets.
+
+        With targets that shed six in ten requests, queries failed after 3 to 42 ms although the
+        client's deadline was 3 s.
+        """
         session = Session(board, budget, least=1.0)
         now = 0.01
         for _ in range(rounds):
@@ -327,7 +331,7 @@
     def test_shard_whose_targets_are_down_is_asked_seldom(
         self, board: Board, budget: RepeatBudget
     ) -> None:
-        """The load: all targets of a shard refuse connections, at once, to each query."""
+        """All targets of a shard refuse connections immediately, to each query."""
         session = Session(board, budget, least=1.0)
         for number in range(1, 10):
             session.answer(f"s{number}", 0.0)
@@ -381,7 +385,7 @@
         assert session.end.lacking == "s0: failed at s0-near, held back"
 
     def test_shards_that_may_lack_leave_a_reserve(self, board: Board) -> None:
-        """Two of ten may lack; the first two that fail leave the last repeat to the third."""
+        """Two of ten shards may be missing; the reserved repeat goes to the third that fails."""
         budget = RepeatBudget(BudgetRule(0.0, 10.0, 1.25), OLD)
         budget.set_members(1, 0.0)
         session = Session(board, budget, least=0.8)
@@ -401,7 +405,7 @@
 
 
 class TestGroups:
-    """Shards that a peer gathers."""
+    """Shards that are delegated to a peer."""
 
     def test_merged_parts_count(self, board: Board, budget: RepeatBudget) -> None:
         session = Session(board, budget, groups=(GROUP,))
@@ -417,7 +421,7 @@
     def test_peer_and_this_box_keep_to_the_attempts_together(
         self, board: Board, budget: RepeatBudget
     ) -> None:
-        """Of two attempts the peer has one; the other goes to a target elsewhere, once."""
+        """Of two attempts the peer gets one; the other goes to a target elsewhere, once."""
         session = Session(board, budget, groups=(GROUP,))
         assert session.gather.plan.peer_attempts == 1
         session.parts(["s0", "s1"], final=False)
@@ -460,13 +464,13 @@
     def test_requests_around_a_peer_are_repeats(
         self, board: Board, no_budget: RepeatBudget
     ) -> None:
-        """The peer may have asked the targets, so the budget has to allow it."""
+        """The peer may have asked the targets, so the requests count against the budget."""
         session = Session(board, no_budget, groups=(GROUP,))
         session.take(session.gather.group_lost(0, 0.01))
         assert isinstance(session.end, GatherFailed)
 
     def test_no_shard_counts_twice(self, board: Board, budget: RepeatBudget) -> None:
-        """A part that came directly gives way to the peer's merged ones, which hold it too."""
+        """A part received directly is replaced by the peer's merged records, which contain it."""
         session = Session(board, budget, groups=(GROUP,))
         session.gather.group_accepted(0)
         session.tick(0.1)
@@ -478,7 +482,7 @@
         assert isinstance(session.end, Gathered)
         assert session.end.signature_by_shard["s0"] == b"peer0-s0"
         assert len(session.end.signature_by_shard) == len(SHARDS)
-        # One list of the peer for two shards, and one for each of the other eight.
+        # One list from the peer for two shards, and one for each of the other eight.
         assert len(session.end.record_lists) == 9
 
     @pytest.mark.parametrize(
@@ -511,7 +515,7 @@
     second, _ = session.gather.parts.pop_unreported()
     assert (list(first), list(second)) == (["s0"], ["s1"])
     session.tick(ANSWER_AT)
-    assert session.end is None, "parts that come after the aim are still told"
+    assert session.end is None, "parts received after the target latency are still reported"
     session.tick(END_AT)
     assert isinstance(session.end, Gathered)
     assert session.end.missing == 8
@@ -525,7 +529,7 @@
 
 
 class TestElsewhere:
-    """Shards that are late go through a peer beside other targets."""
+    """Late shards are delegated to a peer in the failure domain of other targets."""
 
     def test_what_a_report_lacks_goes_in_one_group(
         self, board: Board, budget: RepeatBudget
@@ -563,7 +567,7 @@
     def test_part_that_came_twice_counts_once(
         self, board: Board, budget: RepeatBudget, first: int
     ) -> None:
-        """Merged records hold the shard's, so that the part that came by itself gives way."""
+        """The merged records contain the shard's, so that its single part is dropped."""
         session = Session(board, budget, groups=(GROUP,), elsewhere=Elsewhere())
         session.parts([], final=False)
         for number in (first, 1 - first):
@@ -576,7 +580,7 @@
     def test_shards_of_a_lost_peer_go_to_another_one(
         self, board: Board, budget: RepeatBudget, lost: bool
     ) -> None:
-        """It may not have asked its targets, so that they may be asked again."""
+        """The lost peer may not have asked its targets, so that they may be asked again."""
         elsewhere = Elsewhere()
         session = Session(board, budget, groups=(GROUP,), elsewhere=elsewhere)
         if lost:
@@ -618,7 +622,7 @@
 
 
 class TestDeclined:
-    """A peer whose targets are slow leaves their shards to others."""
+    """A peer whose targets are slow declines their shards."""
 
     def test_peer_declines_what_is_better_elsewhere(
         self, board: Board, budget: RepeatBudget
@@ -631,7 +635,7 @@
     def test_where_all_are_slow_nothing_is_declined(
         self, board: Board, budget: RepeatBudget
     ) -> None:
-        """Under too much load all boxes would send their shards to each other."""
+        """Under overload boxes would otherwise send their shards to each other."""
         for number, shard in enumerate(SHARDS * 20):
             near = board.targets(shard)[0]
             board.sent(near, number, ROUTE, -1.0)
@@ -647,18 +651,18 @@
     def test_repeat_that_may_not_be_paid_is_given_back(
         self, board: Board, no_budget: RepeatBudget
     ) -> None:
-        """No target has seen it, so that it must not count as one of the shard's attempts."""
+        """No target has received it, so that it must not count as one of the shard's attempts."""
         session = Session(board, no_budget, least=0.0, partial=True, repeat=True)
         assert session.other == [Declined(SHARDS)]
 
     def test_shard_that_peers_give_back_is_not_lost(self, board: Board) -> None:
-        """The load: the allowances of single boxes run dry while others have theirs left.
+        """The repeat budget of some boxes is exhausted while others have theirs left.
 
-        Queries were given up with most of their time left, as their last attempt was with a peer
-        that could not pay for it.
+        Guards against queries that failed with most of their time left because their last attempt
+        was delegated to a peer without budget for it.
         """
-        dry = RepeatBudget(BudgetRule(0.2, 10.0, 0.0), OLD)
-        session = Session(board, dry, least=1.0, elsewhere=Elsewhere())
+        exhausted = RepeatBudget(BudgetRule(0.2, 10.0, 0.0), OLD)
+        session = Session(board, exhausted, least=1.0, elsewhere=Elsewhere())
         session.fail("s0", Outcome.FAILED)
         for number in range(1, 10):
             session.answer(f"s{number}")
@@ -735,7 +739,7 @@
 
 
 def make_slow(board: Board, instance: str) -> None:
-    """Let a target answer ten times as slowly as others."""
+    """Make a target answer ten times as slowly as others."""
     service = instance.split("-", maxsplit=1)[0]
     slow = next(found for found in board.targets(service) if found.instance == instance)
     quick = board.targets("s9")[0]
--- a/tests/relay/test_grouping.py
+++ b/tests/relay/test_grouping.py
@@ -1,4 +1,4 @@
-"""Which shards are handed to which peer."""
+"""Which shards are delegated to which peer."""
 
 from collections import Counter
 from itertools import groupby
@@ -90,10 +90,10 @@
 
 
 def test_boxes_hand_their_shards_to_few_peers_and_all_peers_have_work() -> None:
-    """The load: each box has a query in eight seconds, and seven peers a domain to hand it to.
+    """Each box delegates to few peers of a domain, so that links to them are open in advance.
 
-    With all of them in turn most queries met a peer without a link to it: three ways there and
-    back, of the 112 ms that an urgent one has.
+    With one query per box in eight seconds and seven peers per domain in rotation, most queries
+    met a peer without a link: three round trips out of the 112 ms of an urgent query.
     """
     peers = tuple(PeerBox(f"there:{n}", THERE, 2.0 if n < 2 else 0.5) for n in range(6))
     picked: Counter[str] = Counter()
@@ -135,7 +135,7 @@
     ],
 )
 def test_fast_boxes_gather(speeds: list[float], chosen: list[float]) -> None:
-    """The load: three boxes of each failure domain are four times as fast as the other thirty."""
+    """Three boxes of each failure domain are four times as fast as the other thirty."""
     domain = [PeerBox(f"10.0.0.{n}:1", HERE, speed) for n, speed in enumerate(speeds)]
     speed_by_address = {box.address: box.speed for box in domain}
     found = sorted((speed_by_address[a] for a in choose_gatherers(domain)), reverse=True)
@@ -215,7 +215,7 @@
 
 
 def test_late_shards_go_over_links_that_are_there() -> None:
-    """A new link to another region takes longer than the answer may."""
+    """Opening a link to another region takes longer than a late shard may."""
     peer_board = PeerBoard(lambda address: address == "there:2")
     planner = GroupPlanner(HERE, "own:1", board_of({"a": [THERE]}), peer_board)
     planner.set_peers(tuple(PeerBox(f"there:{n}", THERE) for n in range(5)), True)
@@ -247,4 +247,4 @@
         assert others in ({"there-a"}, {place.failure_domain for place in far["yonder-a"]})
         wanted.update(links)
     expected = len(peers) - 4 * gathers
-    assert len(wanted) == expected, "boxes differ in their choice, so that all peers get some"
+    assert len(wanted) == expected, "boxes choose different peers, so that every peer is used"
--- a/tests/relay/test_merge.py
+++ b/tests/relay/test_merge.py
@@ -1,4 +1,4 @@
-"""The greatest records of several parts."""
+"""Merging the top records of several parts."""
 
 import pytest
 
--- a/tests/relay/test_parts.py
+++ b/tests/relay/test_parts.py
@@ -1,4 +1,4 @@
-"""Each shard counts once, and only records that can count are asked of late shards."""
+"""Each shard counts once, and late shards are asked only for records that can be in the answer."""
 
 from collections.abc import Callable
 from itertools import permutations
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("order", list(permutations(range(3))), ids=str)
 def test_shards_that_come_twice_count_once(order: tuple[int, ...]) -> None:
-    """By itself from a second peer, merged from the first one, and directly."""
+    """A shard arrives singly from one peer, merged from another one, and from its target."""
     parts = ReceivedParts(SHARDS, 3)
     steps: list[Callable[[], object]] = [
         lambda: parts.add_merged(("a",), {"a": b"single"}, [record(1)]),
--- a/tests/relay/test_single.py
+++ b/tests/relay/test_single.py
@@ -1,4 +1,4 @@
-"""One request to one target: repeats, hedges, at most once, true refusals."""
+"""One request to one target: repeats, hedges, at-most-once delivery, correct failure reports."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 class Session:
-    """Drive one request and remember what it asked for."""
+    """Run one request and record its commands."""
 
     def __init__(
         self, board: Board, budget: RepeatBudget, repeatable: bool, max_attempts: int = 2
@@ -132,7 +132,9 @@
 def test_request_waits_for_targets_that_refuse_connections(
     board: Board, budget: RepeatBudget, repeatable: bool
 ) -> None:
-    """It was sent eight times within milliseconds and then given up, with its aim far off."""
+    """Guards against a request that was sent eight times within milliseconds and then failed,
+    long before its target latency.
+    """
     session = Session(board, budget, repeatable)
     for token, name in enumerate(["s0-near", "s0-far"]):
         target = session.sent[-1].target
