--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -381,7 +381,7 @@
             box.budget.set_shards(domains)
             box.told = tuple(peer.address for peer in others if peer.place == box.place)
             if open_links:
-                for address in box.planner.links_wanted():
+                for address in box.planner.wanted_links():
                     box.links.add(address)
                     self.box_by_address[address].links.add(own)
 
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -954,8 +954,8 @@
         NEWS + "test_news_of_others",
         Mutant(
             "trackwheel/relay/board.py",
-            "if record.answered_at >= failed_at or record.told_down_until >= until:",
-            "if record.told_down_until >= until:",
+            "if record.answered_at >= failed_at or record.reported_down_until >= until:",
+            "if record.reported_down_until >= until:",
         ),
     ),
     Row(
--- a/tests/relay/test_gather.py
+++ b/tests/relay/test_gather.py
@@ -17,7 +17,7 @@
     GatherPlan,
     GroupPlan,
     PeerSilent,
-    Regrouping,
+    Regrouper,
     SendGroup,
     SendPart,
 )
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.tried_by_shard: dict[str, frozenset[str]] = {}
 
-    def groups_elsewhere(
+    def regroup(
         self,
         tried_by_shard: dict[str, frozenset[str]],
         plan: GatherPlan,
@@ -64,7 +64,7 @@
         max_attempts: int = 2,
         partial: bool = False,
         repeat: bool = False,
-        elsewhere: Regrouping | None = None,
+        elsewhere: Regrouper | None = None,
         gate: SendGate = OPEN_GATE,
     ) -> None:
         plan = GatherPlan(
--- a/tests/relay/test_grouping.py
+++ b/tests/relay/test_grouping.py
@@ -10,7 +10,7 @@
 from trackwheel.relay.const import PEER_AVOID_S, PEERS_IN_TURN
 from trackwheel.relay.gather_models import GatherPlan
 from trackwheel.relay.gatherers import choose_gatherers
-from trackwheel.relay.grouping import GroupPlanner, group_far_shards
+from trackwheel.relay.grouping import GroupPlanner, group_remote_shards
 from trackwheel.relay.models import Place, Target
 from trackwheel.relay.peers import PeerBoard, PeerBox
 
@@ -36,7 +36,7 @@
         for shard, places in places_by_shard.items()
     }
     board.set_targets(targets, 0.0)
-    groups = group_far_shards(
+    groups = group_remote_shards(
         tuple(places_by_shard), HERE, gathers, peers, board, peer_board or PeerBoard(), 0.0
     )
     return [(group.peer.address, group.shards) for group in groups]
@@ -102,7 +102,7 @@
         planner.set_peers(peers, True)
         found = {planner.first_groups(("a", "b"), ROUTE, 0.2, 0.0)[0].address for _ in range(20)}
         assert len(found) <= PEERS_IN_TURN
-        assert found <= set(planner.links_wanted())
+        assert found <= set(planner.wanted_links())
         picked.update(found)
     assert len(picked) == len(peers)
     fast = picked["there:0"] + picked["there:1"]
@@ -209,7 +209,7 @@
     planner = GroupPlanner(HERE, "own:1", board_of(TARGETS), PeerBoard())
     planner.set_peers(PEERS, gathers)
     tried_by_shard = {shard: frozenset(targets) for shard, targets in tried.items()}
-    groups = planner.groups_elsewhere(tried_by_shard, PLAN, True, 0.0)
+    groups = planner.regroup(tried_by_shard, PLAN, True, 0.0)
     assert sorted((group.address, group.shards) for group in groups) == expected
     assert all(group.repeat for group in groups)
 
@@ -220,10 +220,10 @@
     planner = GroupPlanner(HERE, "own:1", board_of({"a": [THERE]}), peer_board)
     planner.set_peers(tuple(PeerBox(f"there:{n}", THERE) for n in range(5)), True)
     for _ in range(3):
-        (group,) = planner.groups_elsewhere({"a": frozenset()}, PLAN, True, 0.0)
+        (group,) = planner.regroup({"a": frozenset()}, PLAN, True, 0.0)
         assert group.address == "there:2"
     peer_board.failed("there:2", 0.0)
-    (group,) = planner.groups_elsewhere({"a": frozenset()}, PLAN, True, 0.0)
+    (group,) = planner.regroup({"a": frozenset()}, PLAN, True, 0.0)
     assert group.address != "there:2"
 
 
@@ -236,9 +236,9 @@
     wanted: Counter[str] = Counter()
     for own in range(60):
         planner = GroupPlanner(HERE, f"own:{own}", Board(HERE, 1), PeerBoard())
-        assert planner.links_wanted() == []
+        assert planner.wanted_links() == []
         planner.set_peers(tuple(peers), gathers)
-        links = planner.links_wanted()
+        links = planner.wanted_links()
         domains = Counter(address.split(":")[0] for address in links)
         assert set(domains.values()) == {PEERS_IN_TURN}
         assert domains.keys() >= {"here-b"}
--- a/tests/relay/test_homes.py
+++ b/tests/relay/test_homes.py
@@ -79,7 +79,7 @@
     planner = make_planner(make_board())
     plan = GatherPlan(homed(homes), SHARDS, 3, (), 0.8, 2, 0.19, 1.0, False)
     tried = {shard: frozenset({f"{shard}@here-a"}) for shard in SHARDS}
-    groups = planner.groups_elsewhere(tried, plan, repeat, 0.1)
+    groups = planner.regroup(tried, plan, repeat, 0.1)
     assert all(group.place.region in homes for group in groups)
 
 
--- a/tests/relay/test_merge.py
+++ b/tests/relay/test_merge.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from trackwheel.relay.merge import greatest_records, merge_records, split_records
+from trackwheel.relay.merge import merge_records, split_records, top_records
 
 
 def record(number: int) -> bytes:
@@ -39,6 +39,6 @@
 def test_merging_in_two_steps_gives_the_same() -> None:
     bodies = [b"".join(record((7 * a + 13 * b) % 251) for b in range(9)) for a in range(6)]
     whole = merge_records([split_records(body) for body in bodies], 10)
-    first = merge_records([greatest_records(body, 10) for body in bodies[:3]], 10)
-    rest = [greatest_records(body, 10) for body in bodies[3:]]
+    first = merge_records([top_records(body, 10) for body in bodies[:3]], 10)
+    rest = [top_records(body, 10) for body in bodies[3:]]
     assert merge_records([split_records(first), *rest], 10) == whole
--- a/trackwheel/relay/board.py
+++ b/trackwheel/relay/board.py
@@ -15,8 +15,8 @@
     OTHER_DOMAIN_COST_AIMS,
 )
 from trackwheel.relay.models import Life, Load, Outcome, Place, RouteKey, Target
-from trackwheel.relay.pace import Paces
-from trackwheel.relay.record import Flight, TargetRecord
+from trackwheel.relay.pace import ResponseTimes
+from trackwheel.relay.record import InFlightRequest, TargetRecord
 
 
 class Choice(NamedTuple):
@@ -60,7 +60,7 @@
         self._cold = cold
         self._record_by_life: dict[Life, TargetRecord] = {}
         """What was believed of a target's earlier life ends with that."""
-        self._paces = Paces()
+        self._response_times = ResponseTimes()
         self._targets_by_service: dict[str, tuple[Target, ...]] = {}
 
     def set_targets(self, targets_by_service: dict[str, tuple[Target, ...]], now: float) -> None:
@@ -71,7 +71,7 @@
         self._record_by_life = {
             life: record
             for life, record in self._record_by_life.items()
-            if life in known or record.flight_by_token
+            if life in known or record.in_flight_by_token
         }
         if self._cold is not None:
             self._cold.keep_only(known)
@@ -95,29 +95,29 @@
 
     def usual_s(self, route: RouteKey, far: bool) -> float:
         """Return the usual time of a route's answers (seconds)."""
-        return self._paces.get(route.name, far, route.aim_s).usual_s
+        return self._response_times.get(route.name, far, route.aim_s).usual_s
 
     def in_flight(self, target: Target) -> int:
         """Return how many requests of this box the target has not answered yet."""
-        return len(self._record(target).flight_by_token)
+        return len(self._record(target).in_flight_by_token)
 
     def sent(self, target: Target, token: object, route: RouteKey, now: float) -> None:
         """Take that a request went to a target."""
         record = self._record(target)
         expected_s = self._expected(target, record, route, now)
-        record.flight_by_token[token] = Flight(now, expected_s, route)
+        record.in_flight_by_token[token] = InFlightRequest(now, expected_s, route)
         if self._cold is not None:
             self._cold.sent(target, now)
 
     def withdrawn(self, target: Target, token: object, now: float) -> None:
         """Take that an unanswered request was taken back: it took at least so long."""
         record = self._record(target)
-        flight = record.flight_by_token.pop(token, None)
+        flight = record.in_flight_by_token.pop(token, None)
         if flight is None:
             return
         ratio = (now - flight.started) / max(1e-4, self._usual(target, flight.route))
         if ratio > record.slowness(now):
-            record.took(ratio, now)
+            record.add_slowness_sample(ratio, now)
 
     def ended(
         self,
@@ -131,12 +131,12 @@
         """Take how a request to a target ended; return what is believed of it from now on."""
         record = self._record(target)
         was_out = record.is_ejected
-        flight = record.flight_by_token.pop(token, None)
+        flight = record.in_flight_by_token.pop(token, None)
         if load is not None:
-            record.told(load, now)
+            record.update_load(load, now)
         if cold_s > 0.0:
             record.cold_until = max(record.cold_until, now + cold_s)
-        record.ended(outcome, now)
+        record.add_outcome(outcome, now)
         if outcome is Outcome.OK and flight is not None:
             self._learn_pace(target, record, flight, now)
         if record.is_ejected is was_out:
@@ -152,9 +152,9 @@
         if target is None:
             return False
         record = self._record(target)
-        if record.answered_at >= failed_at or record.told_down_until >= until:
+        if record.answered_at >= failed_at or record.reported_down_until >= until:
             return False
-        record.told_down_until = until
+        record.reported_down_until = until
         return True
 
     def rank(
@@ -237,11 +237,15 @@
     def _all_targets(self) -> Iterable[Target]:
         return chain.from_iterable(self._targets_by_service.values())
 
-    def _learn_pace(self, target: Target, record: TargetRecord, flight: Flight, now: float) -> None:
+    def _learn_pace(
+        self, target: Target, record: TargetRecord, flight: InFlightRequest, now: float
+    ) -> None:
         duration_s = now - flight.started
         usual_s = self._usual(target, flight.route)
-        self._paces.get(flight.route.name, self.is_far(target), flight.route.aim_s).add(duration_s)
-        record.took(duration_s / max(1e-4, usual_s), now)
+        self._response_times.get(flight.route.name, self.is_far(target), flight.route.aim_s).add(
+            duration_s
+        )
+        record.add_slowness_sample(duration_s / max(1e-4, usual_s), now)
 
     def _doubt_returned(self, before: Iterable[Target], now: float) -> None:
         """Take targets as cold whose evacuation was taken back: they may have started anew in it.
@@ -261,7 +265,7 @@
         if target.barred or target.doubtful:
             return False
         record = self._record(target)
-        return not record.is_out(now) and record.gone_until <= now
+        return not record.is_last_resort(now) and record.gone_until <= now
 
     def _may_ask(self, target: Target, now: float) -> bool:
         """Return whether a target may get a request at all."""
@@ -291,14 +295,14 @@
             place_cost = OTHER_DOMAIN_COST_AIMS
         cost_s = expected_s + (failure_cost + place_cost) * route.aim_s
         cost_s *= 1.0 + self._random.random() * JITTER
-        last_resort = target.doubtful or record.is_out(now)
+        last_resort = target.doubtful or record.is_last_resort(now)
         usual_s = self._usual(target, route)
         return Choice(target, usual_s, expected_s, cost_s, last_resort, record.backoff_until)
 
     def _expected(self, target: Target, record: TargetRecord, route: RouteKey, now: float) -> float:
         """Return how long a request sent now is expected to take (seconds)."""
         slots = max(1, target.slots)
-        busy = len(record.flight_by_token)
+        busy = len(record.in_flight_by_token)
         load = record.load(now)
         if load is not None:
             busy = max(busy, load.running + load.waiting)
--- a/trackwheel/relay/ends.py
+++ b/trackwheel/relay/ends.py
@@ -1,4 +1,4 @@
-"""What the quarantine learns of how requests end at targets."""
+"""Reports the outcomes of requests at targets to the quarantine."""
 
 from trackwheel.quarantine.service import Quarantine
 from trackwheel.relay.models import Outcome, Target
@@ -6,12 +6,12 @@
 
 
 def tell_ends(transport: TargetTransport, quarantine: Quarantine) -> None:
-    """Let the quarantine know how each request of this box ends at its target."""
+    """Report to the quarantine how each request of this box ends at its target."""
 
     def ended(sending: Sending, outcome: Outcome, sent_at: float) -> None:
         match outcome:
             case Outcome.OK:
-                # No other answer clears a request: a failing target may not have begun to run it.
+                # Only a success clears a request: a failing target may not have started it.
                 quarantine.answered(sending.request.fingerprint)
             case Outcome.CLOSED:
                 quarantine.closed(sending.request.fingerprint, sending.target.life)
--- a/trackwheel/relay/fingerprint.py
+++ b/trackwheel/relay/fingerprint.py
@@ -1,21 +1,21 @@
-"""What stays the same of a request from attempt to attempt and from box to box."""
+"""A fingerprint of a request's content, equal for all its attempts and at all boxes."""
 
 from hashlib import blake2b
 from typing import Final
 
 FINGERPRINT_BYTES: Final = 12
-"""Among a million requests two share a fingerprint of 96 bits with a chance of 1 in 10^17."""
+"""96 bits: among a million requests the chance that two share a fingerprint is 1 in 10^17."""
 
 
 def fingerprint(host: str, method: bytes, target: bytes, body: bytes) -> bytes:
-    """Return what tells a request's content: same bytes for each attempt at it, at every box.
+    """Return a hash of a request's content, the same for each attempt and at every box.
 
-    Headers are left out: attempts differ in some of them, and a request that is sent again under
-    other ones is still the same work to a target.
+    Headers are left out: they differ between attempts, and a request repeated with other headers is
+    still the same work for a target.
     """
     content = blake2b(digest_size=FINGERPRINT_BYTES)
     for field in (host.encode("latin-1", "replace"), method, target, body):
-        # With its length before it no field runs into the next one.
+        # The length prefix keeps adjacent fields from being confused.
         content.update(b"%d:" % len(field))
         content.update(field)
     return content.digest()
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -29,7 +29,7 @@
     GatherFailed,
     GatherPlan,
     PeerSilent,
-    Regrouping,
+    Regrouper,
 )
 from trackwheel.relay.handed import DelegatedGroups
 from trackwheel.relay.handing import GroupHanding
@@ -49,16 +49,14 @@
         plan: GatherPlan,
         board: Board,
         budget: RepeatBudget,
-        regrouping: Regrouping | None = None,
+        regrouper: Regrouper | None = None,
     ) -> None:
         self.plan = plan
         self._board = board
         self._shards = ShardTracker(plan)
         self._groups = DelegatedGroups()
         self.parts = ReceivedParts(plan.shards, plan.top_k)
-        self._handing = GroupHanding(
-            plan, board, self._shards, self._groups, self.parts, regrouping
-        )
+        self._handing = GroupHanding(plan, board, self._shards, self._groups, self.parts, regrouper)
         self._asking = ShardAsking(plan, board, budget, self._shards, self._groups)
         self._peers_ran = False
         self._closings = Closings()
--- a/trackwheel/relay/gather_models.py
+++ b/trackwheel/relay/gather_models.py
@@ -48,10 +48,10 @@
         return max(1, self.max_attempts - 1)
 
 
-class Regrouping(Protocol):
+class Regrouper(Protocol):
     """Finds peers near other targets for shards that are late or failed."""
 
-    def groups_elsewhere(
+    def regroup(
         self,
         tried_by_shard: dict[str, frozenset[str]],
         plan: GatherPlan,
--- a/trackwheel/relay/grouping.py
+++ b/trackwheel/relay/grouping.py
@@ -1,4 +1,4 @@
-"""Which shards of a query are handed to which peers, decided without I/O."""
+"""Planning which shards of a query are delegated to which peers, without I/O."""
 
 from collections.abc import Iterable, Iterator
 from math import log
@@ -18,20 +18,20 @@
 from trackwheel.relay.models import Place, RouteKey
 from trackwheel.relay.peers import PeerBoard, PeerBox
 
-RING_PLACES: Final = 2**64
-FARTHEST: Final = 2
-"""Distance of a place in another region."""
+RING_SIZE: Final = 2**64
+OTHER_REGION_DISTANCE: Final = 2
+"""Distance of a place in another region; also the largest distance."""
 
 
 class ShardGroup(NamedTuple):
-    """Some shards and the peer beside their targets."""
+    """Shards and a peer in the failure domain of their targets."""
 
     peer: PeerBox
     shards: tuple[str, ...]
 
 
 class GroupPlanner:
-    """Divide the shards of a query among this box and the peers beside their targets."""
+    """Divides the shards of a query among this box and peers near the shards' targets."""
 
     def __init__(self, own: Place, own_address: str, board: Board, peer_board: PeerBoard) -> None:
         self._own = own
@@ -42,17 +42,17 @@
         self._gathers = True
 
     def set_peers(self, peers: tuple[PeerBox, ...], gathers: bool) -> None:
-        """Take the boxes to which shards may be handed, and whether this box asks targets."""
+        """Set the boxes to which shards may be delegated, and whether this box asks targets."""
         self._peers = tuple(
-            sorted(peers, key=lambda p: (self._own_order(p.place.region), self._own_rank(p)))
+            sorted(peers, key=lambda p: (self._own_hash(p.place.region), self._own_rank(p)))
         )
         self._gathers = gathers
 
     def first_groups(
         self, shards: tuple[str, ...], route: RouteKey, answer_at: float, now: float
     ) -> tuple[GroupPlan, ...]:
-        """Return the groups that peers ask for first; what is left out is asked directly."""
-        groups = group_far_shards(
+        """Return the groups to delegate first; shards in none of them are requested directly."""
+        groups = group_remote_shards(
             shards,
             self._own,
             self._gathers and route.allows(self._own.region),
@@ -63,55 +63,60 @@
         )
         return tuple(self._plan(group, route, answer_at, False, now) for group in groups)
 
-    def groups_elsewhere(
+    def regroup(
         self,
         tried_by_shard: dict[str, frozenset[str]],
         plan: GatherPlan,
         repeat: bool,
         now: float,
     ) -> tuple[GroupPlan, ...]:
-        """Return groups beside targets that were not tried, for shards late, failed or declined.
+        """Return groups for peers near untried targets, for late, failed or declined shards.
 
-        `repeat` says whether targets were asked for the shards before.
+        `repeat` tells whether targets were asked for the shards before.
         """
         gathers = self._gathers and plan.route.allows(self._own.region)
-        left = {
+        remaining = {
             shard
             for shard, tried in tried_by_shard.items()
             if not (gathers and self._board.has_target_at(shard, self._own, now, tried))
         }
         groups: list[ShardGroup] = []
-        for peers_by_place in self._by_nearness(plan.route):
+        for peers_by_place in self._peers_by_distance(plan.route):
             held_by_place = {
                 place: {
                     shard
-                    for shard in left
+                    for shard in remaining
                     if self._board.has_target_at(shard, place, now, tried_by_shard[shard])
                 }
                 for place in peers_by_place
             }
-            for peer, held in _fewest(
-                held_by_place, left, peers_by_place, self._peer_board, now, LEAST_GROUP_ELSEWHERE
+            for peer, held in _cover_greedily(
+                held_by_place,
+                remaining,
+                peers_by_place,
+                self._peer_board,
+                now,
+                LEAST_GROUP_ELSEWHERE,
             ):
                 groups.append(ShardGroup(peer, tuple(sorted(held))))
-                left -= held
+                remaining -= held
         return tuple(self._plan(group, plan.route, plan.answer_at, repeat, now) for group in groups)
 
     def _plan(
         self, group: ShardGroup, route: RouteKey, answer_at: float, repeat: bool, now: float
     ) -> GroupPlan:
-        """Return a group with the times at which its peer should have accepted and reported."""
+        """Return a group with the times by which its peer has to accept and to report."""
         address = group.peer.address
         accept_by = now + self._peer_board.round_trip_s(address) + ACCEPT_SLACK_S
         report_by = self._report_by(route, address, answer_at, now)
         return GroupPlan(address, group.peer.place, group.shards, accept_by, report_by, repeat)
 
-    def links_wanted(self) -> list[str]:
-        """Return the peers to which links should stand before there is work for them.
+    def wanted_links(self) -> list[str]:
+        """Return the peers to which links should be opened in advance.
 
-        Those that this box hands its shards to, in the own region and in the one other region that
-        it prefers: it takes three ways there and back to open a link, which is more than a late
-        shard has left, and most of what an urgent query has.
+        These are the peers to which this box delegates shards, in its own region and in its
+        preferred other region. Opening a link takes three round trips, which is more time than a
+        late shard has left and most of the time of an urgent query.
         """
         regions = {self._own.region, self._preferred_region()}
         near = [
@@ -124,48 +129,49 @@
         ]
 
     def _preferred_region(self) -> str:
-        """Return the other region to which this box turns first; each box has its own."""
+        """Return the other region that this box prefers; boxes differ in their preference."""
         others = {peer.place.region for peer in self._peers} - {self._own.region}
-        return min(others, key=self._own_order, default=self._own.region)
+        return min(others, key=self._own_hash, default=self._own.region)
 
-    def _own_order(self, name: str) -> int:
+    def _own_hash(self, name: str) -> int:
         return ring_position(f"{self._own_address}/{name}")
 
     def _own_rank(self, peer: PeerBox) -> float:
-        """Return a peer's place in this box's own order; faster ones come first more often.
+        """Return a peer's sort key in this box's own order; faster peers rank first more often.
 
-        The first of several exponential times with the speeds as rates is each one's with a chance
-        that is its part of all speed.
+        The hash gives an exponential variate with the peer's speed as its rate. The smallest of
+        several such variates belongs to each peer with a probability proportional to its speed.
         """
-        chance = (self._own_order(peer.address) + 1) / RING_PLACES
-        return -log(chance) / peer.speed
+        uniform = (self._own_hash(peer.address) + 1) / RING_SIZE
+        return -log(uniform) / peer.speed
 
     def _peers_for(self, route: RouteKey) -> tuple[PeerBox, ...]:
-        """Return the peers that may see a request: what it holds goes to no box outside its homes.
+        """Return the peers that may see a request: those in the route's allowed regions.
 
-        Not even to one of this box's own region: its client may have come from another one.
+        This excludes peers in this box's own region if that is not allowed, since the client may
+        have come from another region.
         """
         if not route.homes:
             return self._peers
         return tuple(peer for peer in self._peers if route.allows(peer.place.region))
 
-    def _by_nearness(self, route: RouteKey) -> Iterator[dict[Place, list[PeerBox]]]:
-        """Give the peers by place, near ones first, and those with a link before others."""
+    def _peers_by_distance(self, route: RouteKey) -> Iterator[dict[Place, list[PeerBox]]]:
+        """Yield the peers by place, near ones first; at each distance those with a link first."""
         allowed = self._peers_for(route)
-        for distance in range(FARTHEST + 1):
+        for distance in range(OTHER_REGION_DISTANCE + 1):
             near = [peer for peer in allowed if _distance(peer.place, self._own) == distance]
             yield _by_place(self._peer_board.linked(near))
             yield _by_place(near)
 
     def _report_by(self, route: RouteKey, address: str, answer_at: float, now: float) -> float:
-        """Return when a peer reports what is in: other targets can then still be asked."""
+        """Return when a peer has to report, early enough to ask other targets after that."""
         latest = answer_at - HEDGE_RESERVE_PACES * self._board.usual_s(route, far=True)
         usual_s = self._peer_board.round_trip_s(address)
         usual_s += HEDGE_EARLIEST_PACES * self._board.usual_s(route, far=False)
         return max(latest, now + usual_s)
 
 
-def group_far_shards(
+def group_remote_shards(
     shards: tuple[str, ...],
     own: Place,
     gathers: bool,
@@ -174,26 +180,28 @@
     peer_board: PeerBoard,
     now: float,
 ) -> list[ShardGroup]:
-    """Return the shards that peers ask for this box, in as few groups as will do.
+    """Return the shards to delegate to peers, in as few groups as possible.
 
-    A box that gathers asks the targets of its own failure domain itself; another one leaves them
-    to a peer there. Domains of the own region come before others. What is left out is asked
-    directly: shards with a target in the own domain, and single ones elsewhere.
+    A box that gathers asks the targets of its own failure domain itself; other boxes delegate them
+    to a peer there. Domains of the own region come before others. The remaining shards are
+    requested directly: those with a target in the own domain, and single ones elsewhere.
     """
-    left = {shard for shard in shards if not (gathers and board.has_target_at(shard, own, now))}
+    remaining = {
+        shard for shard in shards if not (gathers and board.has_target_at(shard, own, now))
+    }
     peers_by_place = _by_place(peer for peer in peers if peer.place != own or not gathers)
     groups: list[ShardGroup] = []
-    for distance in range(FARTHEST + 1):
+    for distance in range(OTHER_REGION_DISTANCE + 1):
         held_by_place = {
-            place: {shard for shard in left if board.has_target_at(shard, place, now)}
+            place: {shard for shard in remaining if board.has_target_at(shard, place, now)}
             for place in peers_by_place
             if _distance(place, own) == distance
         }
-        for chosen, held in _fewest(
-            held_by_place, left, peers_by_place, peer_board, now, LEAST_GROUP
+        for chosen, held in _cover_greedily(
+            held_by_place, remaining, peers_by_place, peer_board, now, LEAST_GROUP
         ):
             groups.append(ShardGroup(chosen, tuple(shard for shard in shards if shard in held)))
-            left -= held
+            remaining -= held
     return groups
 
 
@@ -205,13 +213,13 @@
 
 
 def _distance(place: Place, own: Place) -> int:
-    """Return 0 for the own failure domain, 1 for the own region, 2 for others."""
+    """Return 0 for the own failure domain, 1 for the own region, 2 for other regions."""
     if place == own:
         return 0
-    return 1 if place.region == own.region else FARTHEST
+    return 1 if place.region == own.region else OTHER_REGION_DISTANCE
 
 
-def _fewest(
+def _cover_greedily(
     held_by_place: dict[Place, set[str]],
     wanted: set[str],
     peers_by_place: dict[Place, list[PeerBox]],
@@ -219,22 +227,22 @@
     now: float,
     least: int,
 ) -> list[tuple[PeerBox, set[str]]]:
-    """Return peers and what each is to gather, the place that holds most of the rest first.
+    """Return peers with their shards by greedy set cover, largest place first.
 
-    Places that hold fewer of the shards than `least` get none.
+    Places that cover fewer than `least` of the remaining shards get none.
     """
-    left = set(wanted)
-    found: list[tuple[PeerBox, set[str]]] = []
-    while left and held_by_place:
-        most = max(len(held & left) for held in held_by_place.values())
+    remaining = set(wanted)
+    cover: list[tuple[PeerBox, set[str]]] = []
+    while remaining and held_by_place:
+        most = max(len(held & remaining) for held in held_by_place.values())
         if most < least:
             break
-        # Of places that hold as many the first one, so that the same links are used again.
-        best = next(place for place, held in held_by_place.items() if len(held & left) == most)
-        held = held_by_place.pop(best) & left
+        # Ties go to the first place, so that the same links are used again.
+        best = next(place for place, held in held_by_place.items() if len(held & remaining) == most)
+        held = held_by_place.pop(best) & remaining
         chosen = peer_board.pick(peers_by_place[best], now)
         if chosen is None:
             continue
-        found.append((chosen, held))
-        left -= held
-    return found
+        cover.append((chosen, held))
+        remaining -= held
+    return cover
--- a/trackwheel/relay/handing.py
+++ b/trackwheel/relay/handing.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from trackwheel.relay.board import Board
-from trackwheel.relay.gather_models import GatherPlan, GroupPlan, Regrouping, SendGroup
+from trackwheel.relay.gather_models import GatherPlan, GroupPlan, Regrouper, SendGroup
 from trackwheel.relay.handed import DelegatedGroup, DelegatedGroups
 from trackwheel.relay.models import Passage
 from trackwheel.relay.parts import ReceivedParts
@@ -20,14 +20,14 @@
         shards: ShardTracker,
         groups: DelegatedGroups,
         parts: ReceivedParts,
-        regrouping: Regrouping | None,
+        regrouper: Regrouper | None,
     ) -> None:
         self._plan = plan
         self._board = board
         self._shards = shards
         self._groups = groups
         self._parts = parts
-        self._regrouping = regrouping
+        self._regrouper = regrouper
 
     def hand_over(self, group: GroupPlan) -> SendGroup:
         """Leave a group to a peer: a first one with all attempts but one, a repeat with one."""
@@ -54,11 +54,11 @@
             for name in names
             if self._shards[name].attempts.may_run_again
         }
-        if self._regrouping is None or not tried_by_shard or now >= self._plan.end_at:
+        if self._regrouper is None or not tried_by_shard or now >= self._plan.end_at:
             return []
         if self._plan.gate.passage(now) is not Passage.OPEN:
             return []
-        groups = self._regrouping.groups_elsewhere(tried_by_shard, self._plan, repeat, now)
+        groups = self._regrouper.regroup(tried_by_shard, self._plan, repeat, now)
         return [self.hand_over(group) for group in groups]
 
     def shards_of(self, number: int) -> list[str]:
--- a/trackwheel/relay/merge.py
+++ b/trackwheel/relay/merge.py
@@ -1,4 +1,4 @@
-"""The greatest records of several parts."""
+"""Merging the top records of several parts."""
 
 from collections.abc import Iterable
 from heapq import nlargest
@@ -7,20 +7,20 @@
 
 
 def split_records(body: bytes) -> list[bytes]:
-    """Return the whole records of a body; a rest is not a record."""
+    """Return the records of a body; a truncated record at the end is dropped."""
     end = len(body) - len(body) % RECORD_BYTES
     return [body[start : start + RECORD_BYTES] for start in range(0, end, RECORD_BYTES)]
 
 
-def greatest_records(body: bytes, top_k: int) -> list[bytes]:
-    """Return the greatest records of a body, falling."""
+def top_records(body: bytes, top_k: int) -> list[bytes]:
+    """Return the `top_k` greatest records of a body in descending order."""
     return nlargest(top_k, split_records(body))
 
 
 def merge_records(record_lists: Iterable[list[bytes]], top_k: int, floor: bytes = b"") -> bytes:
-    """Return the greatest records of all parts that are above a floor, falling.
+    """Return the `top_k` greatest records above `floor` of all parts in descending order.
 
-    Equal ones all count.
+    Equal records are not deduplicated.
     """
     above = (record for records in record_lists for record in records if record > floor)
     return b"".join(nlargest(top_k, above))
--- a/trackwheel/relay/models.py
+++ b/trackwheel/relay/models.py
@@ -1,4 +1,4 @@
-"""What the decisions about one request take and give."""
+"""Data types of the decision logic for one request."""
 
 from enum import StrEnum
 from typing import Final, NamedTuple, Protocol
@@ -7,17 +7,17 @@
 
 
 class Place(NamedTuple):
-    """Say where a box or a target stands."""
+    """Location of a box or a target."""
 
     region: str
     failure_domain: str
 
 
 class RouteKey(NamedTuple):
-    """Say what the choice of a target must know of a route; its aim is in seconds.
+    """The properties of a route that affect the choice of a target.
 
-    Its answers' pace is kept by its name. `homes` are the regions that alone may serve it; none are
-    named where all may.
+    Response times are kept by route name; `aim_s` is the target latency. `homes` are the regions
+    that may serve the route; empty means all.
     """
 
     name: str
@@ -30,14 +30,14 @@
 
 
 Life = tuple[str, int]
-"""A target's name and when it started (Unix milliseconds)."""
+"""One incarnation of a target: its name and start time (Unix milliseconds)."""
 
 
 class Target(NamedTuple):
     """One target as the directory knows it; `cold_until` is monotonic seconds.
 
-    One that is `barred` gets no new request: it is leaving, or its failure domain is evacuated.
-    `born_ms` is when it started (Unix milliseconds).
+    A `barred` target gets no new requests: it is leaving, or its failure domain is evacuated. A
+    `doubtful` one is a last resort. `born_ms` is its start time (Unix milliseconds).
     """
 
     instance: str
@@ -52,14 +52,15 @@
 
     @property
     def life(self) -> Life:
-        """Return what tells this target from an earlier one of the same name."""
+        """Return the identity that differs between restarts under the same name."""
         return self.instance, self.born_ms
 
 
 class Load(NamedTuple):
-    """What a target says of its load.
+    """Load reported by a target.
 
-    `slowness` is how long work takes there now, 1 is as usual: its machine has other work too.
+    `slowness` is the ratio of the current to the usual duration of work; it rises when other work
+    competes for the target's machine.
     """
 
     running: int
@@ -69,10 +70,10 @@
 
 
 class Outcome(StrEnum):
-    """Say how one request to one target ended.
+    """How one request to one target ended.
 
-    `CLOSED` says that the target ended the connection under the request, without any answer: it may
-    have ended itself.
+    `CLOSED`: the target closed the connection during the request without any answer, possibly
+    because it crashed. `ELSEWHERE`: another target answered at the address.
     """
 
     OK = "ok"
@@ -85,11 +86,11 @@
 
 
 NOTHING_RAN = frozenset({Outcome.NOT_RUN, Outcome.ELSEWHERE, Outcome.NOT_SENT})
-"""Outcomes after which the target certainly has not run the request and never will."""
+"""Outcomes that guarantee that the target has not run the request and never will."""
 
 
 class Passage(StrEnum):
-    """Say whether a request may go to targets: to any, to one first, perhaps soon, or to none."""
+    """Whether a request may be sent: to any target, to one as a trial, not yet, or not at all."""
 
     OPEN = "open"
     ONE = "one"
@@ -98,14 +99,14 @@
 
 
 class SendGate(Protocol):
-    """Know whether one request may go to targets."""
+    """Decides whether one request may be sent to targets."""
 
     def passage(self, now: float) -> Passage:
-        """Return whether it may be sent at a time (monotonic seconds)."""
+        """Return whether it may be sent at `now` (monotonic seconds)."""
 
 
 class _OpenGate:
-    """Let everything pass."""
+    """Lets every request pass."""
 
     def passage(self, now: float) -> Passage:
         return Passage.OPEN
@@ -115,7 +116,7 @@
 
 
 class TargetEnd(NamedTuple):
-    """Tell how one request to one target ended; `cold_s` is how long it says that it stays cold."""
+    """Result of one request to one target; `cold_s` is its reported remaining warm-up time."""
 
     outcome: Outcome
     answer: Response | None
@@ -126,9 +127,9 @@
 
 
 class CallerRequest(NamedTuple):
-    """One request of a client in the product's terms (monotonic seconds).
+    """One decoded request of a client; `deadline` is monotonic seconds.
 
-    `fingerprint` is the same in each attempt at this request, at every box.
+    `fingerprint` is the same for each attempt at this request, at every box.
     """
 
     request_id: str
@@ -140,37 +141,37 @@
 
 
 class Part(NamedTuple):
-    """The answer of one shard: its signature and its greatest records."""
+    """The answer of one shard: its signature and its top records."""
 
     signature: bytes
     records: list[bytes]
 
 
 class Wire(Protocol):
-    """Translate between the product's terms and the headers that clients and targets speak."""
+    """Translates between internal types and the HTTP requests of clients and targets."""
 
     def read_request(self, request: Request) -> CallerRequest:
-        """Return a client's request in the product's terms."""
+        """Decode a client's request."""
 
     def target_request(self, request: CallerRequest, instance: str, now: float) -> Request:
-        """Return what is sent to a target, with the time that is left."""
+        """Return the request for a target, with the remaining time."""
 
     def forwarded_headers(self, request: Request) -> Headers:
-        """Return the headers of a client's request that targets get."""
+        """Return the headers of a client's request that are forwarded to targets."""
 
     def check_answer(self, request_id: str, answer: Response) -> str:
         """Return why an answer does not belong to a request; an empty text when it does."""
 
     def read_end(self, answer: Response, single: bool) -> TargetEnd:
-        """Return how a target answered; `single` asks for the answer of a whole request."""
+        """Return the result of a target's answer; `single` means it answers the whole request."""
 
     def single_answer(self, answer: Response) -> Response:
-        """Return what the client gets of a target's answer."""
+        """Return the client's answer for a target's answer."""
 
     def gathered_answer(
         self, request_id: str, signatures: list[bytes], missing: int, body: bytes
     ) -> Response:
-        """Return the answer that is made of several parts."""
+        """Return the client's answer for the merged parts of several shards."""
 
     def refusal(self, status: int, retry_after_s: float | None, reason: str) -> Response:
-        """Return an answer of this box's own; `retry_after_s` says when to come back."""
+        """Return an error response of this box; `retry_after_s` becomes its Retry-After header."""
--- a/trackwheel/relay/pace.py
+++ b/trackwheel/relay/pace.py
@@ -1,12 +1,12 @@
-"""How long answers of a route usually take, near and far."""
+"""Typical response times of routes, for near and far targets."""
 
 from collections import deque
 
 from trackwheel.relay.const import FIRST_PACE_SHARE, PACE_REFRESH, PACE_SAMPLES
 
 
-class Pace:
-    """Keep the usual time of one route's answers (seconds)."""
+class MedianResponseTime:
+    """Median of the last response times (seconds)."""
 
     def __init__(self, first_guess_s: float) -> None:
         self._samples: deque[float] = deque(maxlen=PACE_SAMPLES)
@@ -14,7 +14,7 @@
         self.usual_s = first_guess_s
 
     def add(self, duration_s: float) -> None:
-        """Take the time of one good answer."""
+        """Add the response time of one successful answer."""
         self._samples.append(duration_s)
         self._new += 1
         if self._new >= PACE_REFRESH or len(self._samples) < PACE_REFRESH:
@@ -23,15 +23,17 @@
             self.usual_s = ordered[len(ordered) // 2]
 
 
-class Paces:
-    """Keep a pace for each route and distance."""
+class ResponseTimes:
+    """Median response times by route and distance."""
 
     def __init__(self) -> None:
-        self._pace_by_key: dict[tuple[str, bool], Pace] = {}
-
-    def get(self, route: str, far: bool, aim_s: float) -> Pace:
-        """Return the pace of a route towards near or far targets."""
-        pace = self._pace_by_key.get((route, far))
-        if pace is None:
-            pace = self._pace_by_key[(route, far)] = Pace(aim_s * FIRST_PACE_SHARE)
-        return pace
+        self._median_by_key: dict[tuple[str, bool], MedianResponseTime] = {}
+
+    def get(self, route: str, far: bool, aim_s: float) -> MedianResponseTime:
+        """Return the median response time of a route's near or far targets."""
+        median = self._median_by_key.get((route, far))
+        if median is None:
+            median = self._median_by_key[(route, far)] = MedianResponseTime(
+                aim_s * FIRST_PACE_SHARE
+            )
+        return median
--- a/trackwheel/relay/record.py
+++ b/trackwheel/relay/record.py
@@ -1,4 +1,4 @@
-"""What this box knows of one target in one of its lives, learnt from how its requests ended."""
+"""Health and load of one incarnation of a target, as seen from this box's requests."""
 
 from math import exp2
 from typing import NamedTuple
@@ -23,8 +23,8 @@
 from trackwheel.relay.models import Load, Outcome, RouteKey
 
 
-class Flight(NamedTuple):
-    """One request that a target has not answered yet (monotonic seconds)."""
+class InFlightRequest(NamedTuple):
+    """A request that a target has not answered yet; `started` is monotonic seconds."""
 
     started: float
     expected_s: float
@@ -32,58 +32,58 @@
 
 
 class TargetRecord:
-    """Keep what a target's answers and failures say of it (monotonic seconds)."""
+    """Estimates of one target's speed and failure rate; times are monotonic seconds."""
 
     def __init__(self) -> None:
-        self.flight_by_token: dict[object, Flight] = {}
+        self.in_flight_by_token: dict[object, InFlightRequest] = {}
         self.ejected_until = 0.0
         self.gone_until = 0.0
         self.backoff_until = 0.0
-        self.told_down_until = 0.0
+        self.reported_down_until = 0.0
         self.answered_at = float("-inf")
         self.cold_until = float("-inf")
         self._slowness = 1.0
         self._slowness_at = 0.0
         self._failure_rate = 0.0
         self._failure_at = 0.0
-        self._failures_in_a_row = 0
-        self._refused_in_a_row = 0
+        self._consecutive_failures = 0
+        self._consecutive_refusals = 0
         self._load: Load | None = None
         self._load_at = 0.0
 
     @property
     def is_ejected(self) -> bool:
-        """Return whether its last requests failed, so that it was taken out of use."""
+        """Return whether it was ejected because its last requests failed."""
         return self.ejected_until > 0.0
 
-    def is_out(self, now: float) -> bool:
-        """Return whether the target is a last resort, by the own failures or by another box's."""
-        return max(self.ejected_until, self.told_down_until) > now
+    def is_last_resort(self, now: float) -> bool:
+        """Return whether failures here or at other boxes make it a last resort."""
+        return max(self.ejected_until, self.reported_down_until) > now
 
-    def told(self, load: Load, now: float) -> None:
-        """Take what the target says of its load."""
+    def update_load(self, load: Load, now: float) -> None:
+        """Store the load that the target reported."""
         self._load, self._load_at = load, now
 
     def load(self, now: float) -> Load | None:
-        """Return what the target said of its load a moment ago; None when that is too old."""
+        """Return the last reported load, or None if the report is too old."""
         return self._load if now - self._load_at < REPORT_LIFETIME_S else None
 
     def stalled_s(self, now: float) -> float:
-        """Return the age of the oldest answer that is awaited, if that is overdue."""
+        """Return the age of the oldest overdue request, 0 if none is overdue."""
         oldest = 0.0
-        for flight in self.flight_by_token.values():
-            age = now - flight.started
-            if age > STALL_FACTOR * flight.expected_s:
+        for request in self.in_flight_by_token.values():
+            age = now - request.started
+            if age > STALL_FACTOR * request.expected_s:
                 oldest = max(oldest, age)
         return oldest
 
     def slowness(self, now: float) -> float:
-        """Return how many times longer than usual the target takes, as old knowledge fades."""
-        fade = exp2((self._slowness_at - now) / SLOWNESS_HALF_LIFE_S)
-        return 1.0 + (self._slowness - 1.0) * fade
+        """Return how many times longer than usual the target takes; decays towards 1."""
+        decay = exp2((self._slowness_at - now) / SLOWNESS_HALF_LIFE_S)
+        return 1.0 + (self._slowness - 1.0) * decay
 
-    def took(self, ratio: float, now: float) -> None:
-        """Take how many times longer than usual an answer took."""
+    def add_slowness_sample(self, ratio: float, now: float) -> None:
+        """Add the ratio of one response time to the usual one."""
         before = self.slowness(now)
         ratio = min(MOST_SLOWNESS, ratio)
         weight = SLOWER_WEIGHT if ratio > before else FASTER_WEIGHT
@@ -91,35 +91,35 @@
         self._slowness_at = now
 
     def failure_rate(self, now: float) -> float:
-        """Return the share of requests that are thought to fail, as old knowledge fades."""
+        """Return the estimated share of requests that fail; decays towards 0."""
         return self._failure_rate * exp2((self._failure_at - now) / FAILURE_HALF_LIFE_S)
 
-    def ended(self, outcome: Outcome, now: float) -> None:
-        """Take how a request ended."""
+    def add_outcome(self, outcome: Outcome, now: float) -> None:
+        """Record the outcome of a request."""
         failed = 0.0 if outcome is Outcome.OK else 1.0
         before = self.failure_rate(now)
         self._failure_rate = before + (failed - before) * FAILURE_WEIGHT
         self._failure_at = now
         if outcome is not Outcome.NOT_SENT:
-            self._refused_in_a_row = 0
+            self._consecutive_refusals = 0
             self.backoff_until = 0.0
         if outcome is Outcome.OK:
-            self._failures_in_a_row = 0
-            self.ejected_until = self.gone_until = self.told_down_until = 0.0
+            self._consecutive_failures = 0
+            self.ejected_until = self.gone_until = self.reported_down_until = 0.0
             self.answered_at = now
         elif outcome is not Outcome.NOT_RUN:
-            self._failed(outcome, now)
+            self._eject(outcome, now)
 
-    def _failed(self, outcome: Outcome, now: float) -> None:
-        """Take the target out of use for as long as its failure suggests."""
-        self._failures_in_a_row += 1
+    def _eject(self, outcome: Outcome, now: float) -> None:
+        """Eject the target for a time that depends on the kind of failure."""
+        self._consecutive_failures += 1
         if outcome is Outcome.ELSEWHERE:
             self.ejected_until = self.gone_until = now + GONE_S
         elif outcome is Outcome.NOT_SENT:
             self.ejected_until = now + DISCONNECT_EJECT_S
-            rest_s = DOWN_REST_S * 2.0**self._refused_in_a_row
-            self.backoff_until = now + min(LONGEST_DOWN_REST_S, rest_s)
-            self._refused_in_a_row += 1
-        elif self._failures_in_a_row >= EJECT_AFTER:
-            doublings = self._failures_in_a_row - EJECT_AFTER
+            backoff_s = DOWN_REST_S * 2.0**self._consecutive_refusals
+            self.backoff_until = now + min(LONGEST_DOWN_REST_S, backoff_s)
+            self._consecutive_refusals += 1
+        elif self._consecutive_failures >= EJECT_AFTER:
+            doublings = self._consecutive_failures - EJECT_AFTER
             self.ejected_until = now + min(LONGEST_EJECT_S, EJECT_S * 2**doublings)
--- a/trackwheel/relay/runs.py
+++ b/trackwheel/relay/runs.py
@@ -1,4 +1,4 @@
-"""Shells that carry out the decisions about one request."""
+"""Runners that perform the I/O for the decision logic of one request."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
@@ -16,7 +16,7 @@
     SendGroup,
     SendPart,
 )
-from trackwheel.relay.merge import greatest_records
+from trackwheel.relay.merge import top_records
 from trackwheel.relay.models import CallerRequest, Outcome, Part, RouteKey, Target, TargetEnd
 from trackwheel.relay.single import (
     CancelSingle,
@@ -31,30 +31,30 @@
 
 
 class GatherTask(NamedTuple):
-    """A query to gather at this box."""
+    """A client's query and its decision logic."""
 
     request: CallerRequest
     gather: Gather
 
 
 class GroupSender(Protocol):
-    """Carry groups of shards to peers."""
+    """Sends groups of shards to peers."""
 
     def send_group(self, run: "GatherRun", command: SendGroup) -> None:
-        """Hand a group to its peer."""
+        """Send a group to its peer."""
 
     def cancel_group(self, run: "GatherRun", command: CancelGroup) -> None:
-        """Take a group back."""
+        """Cancel a group."""
 
     def peer_silent(self, command: PeerSilent) -> None:
-        """Note a peer that showed no life."""
+        """Record that a peer did not accept or report in time."""
 
     def forget(self, run: "GatherRun") -> None:
-        """Drop the groups of a query that ended."""
+        """Drop the groups of a finished query."""
 
 
-class _Sends:
-    """The requests of one run that are at targets, by the numbers that its decisions give them."""
+class _OutstandingRequests:
+    """The outstanding requests of one run, by the numbers that its decision logic assigns."""
 
     def __init__(
         self,
@@ -72,13 +72,13 @@
     def send(
         self, number: int, target: Target, reason: str, single: bool = False, once: bool = False
     ) -> None:
-        """Send the request to a target; its end is told unless it is withdrawn."""
+        """Send the request to a target; `on_end` is called unless it is withdrawn."""
         token = self._token_by_number[number] = object()
         sending = Sending(token, self._request, target, self._route, reason, single, once)
         self._transport.send(sending, lambda end: self._ended(number, end))
 
     def withdraw(self, number: int, target: Target) -> None:
-        """Take a request back."""
+        """Withdraw a request."""
         token = self._token_by_number.pop(number)
         self._transport.withdraw(token, target, self._request.fingerprint)
 
@@ -88,7 +88,7 @@
 
 
 class GatherRun:
-    """Carry out the decisions of one gather."""
+    """Executes the commands of one scatter-gather query."""
 
     def __init__(
         self,
@@ -101,7 +101,9 @@
     ) -> None:
         self.task = task
         self._gather = task.gather
-        self._sends = _Sends(transport, task.request, task.gather.plan.route, self._ended)
+        self._requests = _OutstandingRequests(
+            transport, task.request, task.gather.plan.route, self._ended
+        )
         self._groups = groups
         self._on_done = on_done
         self._on_part = on_part
@@ -119,20 +121,22 @@
         self._groups.forget(self)
 
     def perform(self, commands: list[GatherCommand]) -> None:
-        """Carry out some commands and wait for what comes next."""
+        """Execute commands and set the timer for the next tick."""
         done: Gathered | GatherFailed | None = None
         for command in commands:
             match command:
                 case SendPart(number, _, target, reason):
-                    self._sends.send(number, target, reason)
+                    self._requests.send(number, target, reason)
                 case CancelPart(number, target):
-                    self._sends.withdraw(number, target)
+                    self._requests.withdraw(number, target)
                 case SendGroup():
                     self._groups.send_group(self, command)
                 case CancelGroup():
                     self._groups.cancel_group(self, command)
                 case Declined():
-                    assert self._on_declined is not None, "only what a peer asked for is declined"
+                    assert (
+                        self._on_declined is not None
+                    ), "only a query delegated by a peer is declined"
                     self._on_declined(command)
                 case PeerSilent():
                     self._groups.peer_silent(command)
@@ -151,14 +155,14 @@
     def _ended(self, number: int, end: TargetEnd) -> None:
         part = None
         if end.outcome is Outcome.OK and end.answer is not None:
-            part = Part(end.signature, greatest_records(end.answer.body, self._gather.plan.top_k))
+            part = Part(end.signature, top_records(end.answer.body, self._gather.plan.top_k))
         self.perform(self._gather.part_ended(number, end, part, steady_now()))
         if part is not None and self._on_part is not None:
             self._on_part()
 
 
 class SingleRun:
-    """Carry out the decisions of one request to one target."""
+    """Executes the commands of one request to a single target."""
 
     def __init__(
         self,
@@ -168,7 +172,7 @@
         on_done: Callable[[SingleAnswered | SingleFailed], None],
     ) -> None:
         self._single = single
-        self._sends = _Sends(transport, request, single.plan.route, self._ended)
+        self._requests = _OutstandingRequests(transport, request, single.plan.route, self._ended)
         self._on_done = on_done
         self._timer = Timer(self._tick)
 
@@ -193,9 +197,9 @@
             match command:
                 case SendSingle(number, target, reason):
                     once = not self._single.plan.repeatable
-                    self._sends.send(number, target, reason, single=True, once=once)
+                    self._requests.send(number, target, reason, single=True, once=once)
                 case CancelSingle(number, target):
-                    self._sends.withdraw(number, target)
+                    self._requests.withdraw(number, target)
                 case SingleAnswered() | SingleFailed():
                     done = command
         if done is not None:
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -78,7 +78,7 @@
         self._links_timer.set(steady_now() + LINKS_REST_S)
 
     def _open_links(self) -> None:
-        self._groups.open_links(self._planner.links_wanted())
+        self._groups.open_links(self._planner.wanted_links())
 
     def handle(self, request: Request, exchange: Exchange) -> None:
         """Serve one request of a client."""
--- a/trackwheel/relay/single.py
+++ b/trackwheel/relay/single.py
@@ -1,7 +1,7 @@
-"""The decisions about one request to one target, without I/O.
+"""Decision logic of one request to a single target, without I/O.
 
-A repeatable request is sent again, within the budget, when its target failed or is late. One
-that may run only once goes to a second target only when the first certainly did not run it.
+A repeatable request is retried or hedged, within the budget, when its target fails or is late.
+One that may run at most once goes to a second target only if the first certainly did not run it.
 """
 
 from typing import NamedTuple
@@ -14,9 +14,9 @@
 
 
 class SinglePlan(NamedTuple):
-    """Say what a request needs; times are monotonic seconds.
+    """Parameters of one request; times are monotonic seconds.
 
-    `gate` knows whether it may go to targets at all.
+    `gate` decides whether it may be sent to targets at all.
     """
 
     route: RouteKey
@@ -37,20 +37,20 @@
 
 
 class CancelSingle(NamedTuple):
-    """Command: take an unanswered request back."""
+    """Command: cancel an outstanding request."""
 
     token: int
     target: Target
 
 
 class SingleAnswered(NamedTuple):
-    """Command: give the client this answer of a target."""
+    """Command: answer the client with a target's answer."""
 
     answer: Response
 
 
 class SingleFailed(NamedTuple):
-    """Command: tell the client that no answer comes; `ran` says whether a target may have run."""
+    """Command: fail the request; `ran` tells whether a target may have run it."""
 
     ran: bool
     late: bool
@@ -61,7 +61,7 @@
 
 
 class Single:
-    """Decide, from events and the time, where one request goes and how it ends."""
+    """State machine of one request: takes events and the time, returns commands."""
 
     def __init__(self, plan: SinglePlan, board: Board, budget: RepeatBudget) -> None:
         self.plan = plan
@@ -77,13 +77,13 @@
 
     def start(self, now: float) -> list[SingleCommand]:
         """Send the request to the best target."""
-        if not self._ask("first", now) and not self._wait_for_rest(now):
+        if not self._ask("first", now) and not self._wait_for_backoff(now):
             lack = self._board.lack(self.plan.service, self.plan.route, now)
             self._fail(lack.value, False)
         return self._take_commands()
 
     def target_ended(self, token: int, end: TargetEnd, now: float) -> list[SingleCommand]:
-        """Take the end of the request at one target."""
+        """Handle the end of the request at one target."""
         if self.ended or token not in self._attempts.target_by_token:
             return []
         if end.outcome is Outcome.OK and end.answer is not None:
@@ -96,12 +96,12 @@
         may_repeat = self.plan.repeatable or not self._attempts.ran
         if may_repeat and self._ask(end.outcome.value, now):
             return self._take_commands()
-        if not self._attempts.target_by_token and not (may_repeat and self._wait_for_rest(now)):
+        if not self._attempts.target_by_token and not (may_repeat and self._wait_for_backoff(now)):
             self._give_up(end)
         return self._take_commands()
 
     def tick(self, now: float) -> list[SingleCommand]:
-        """Ask a second target when that is due; end the request when its time is up."""
+        """Do what is due: hedge, retry after a backoff, or fail at the deadline."""
         if self.ended:
             return []
         if now >= self.plan.end_at:
@@ -111,30 +111,30 @@
             self._ask("hedge", now)
         elif now >= self._retry_at:
             self._retry_at = NEVER
-            if not self._ask("not_sent", now) and not self._wait_for_rest(now):
+            if not self._ask("not_sent", now) and not self._wait_for_backoff(now):
                 self._fail("all targets refuse connections", False)
         return self._take_commands()
 
     def cancel(self) -> list[SingleCommand]:
-        """Take everything back since nobody waits for the answer any more."""
+        """Cancel all outstanding requests: the client is gone."""
         if not self.ended:
             self._end()
         return self._take_commands()
 
     def next_wake(self) -> float:
-        """Return when `tick` is next needed (monotonic seconds)."""
+        """Return when `tick` is due next (monotonic seconds)."""
         return min(self._hedge_at, self._retry_at, self.plan.end_at)
 
-    def _wait_for_rest(self, now: float) -> bool:
-        """Wait for the first target that rests after refused connections, if that is in time."""
-        rests_until = self._attempts.backoff_until
-        if not now < rests_until < self.plan.answer_at:
+    def _wait_for_backoff(self, now: float) -> bool:
+        """Schedule a retry at the end of the connection backoff, if that is in time."""
+        backoff_until = self._attempts.backoff_until
+        if not now < backoff_until < self.plan.answer_at:
             return False
-        self._retry_at = rests_until
+        self._retry_at = backoff_until
         return True
 
     def _ask(self, reason: str, now: float) -> bool:
-        """Send the request to one more target; return False when it may not or there is none."""
+        """Send the request to one more target; return False if none may be asked."""
         if now >= self.plan.end_at:
             return False
         choices = self._attempts.choose(self._board, self._budget, self.plan.route, now)
@@ -150,7 +150,7 @@
         return True
 
     def _give_up(self, end: TargetEnd) -> None:
-        """End with a target's own failure where there is one."""
+        """End with a target's error response, or else fail."""
         if self._failure is not None:
             self._answer(self._failure)
             return
