--- a/tests/relay/test_gather.py
+++ b/tests/relay/test_gather.py
@@ -656,7 +656,7 @@
         assert session.other == [Declined(SHARDS)]
 
     def test_shard_that_peers_give_back_is_not_lost(self, board: Board) -> None:
-        """The repeat budget of some boxes is exhausted while others have theirs left.
+        """The retry budget of some boxes is exhausted while others have theirs left.
 
         Guards against queries that failed with most of their time left because their last attempt
         was delegated to a peer without budget for it.
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -5,7 +5,7 @@
 with merged records. Late shards are requested a second time while the answer can still meet the
 target latency: through a peer in the failure domain of other targets, which has connections to
 them, or else directly. A shard whose target failed is retried at once; the shards of a silent peer
-are requested without it. A shard that all its targets have refused, or for which the repeat budget
+are requested without it. A shard that all its targets have refused, or for which the retry budget
 is exhausted, is held back and retried soon; part of the budget is reserved for shards without which
 the answer fails.
 
--- a/trackwheel/relay/models.py
+++ b/trackwheel/relay/models.py
@@ -59,8 +59,8 @@
 class Load(NamedTuple):
     """Load reported by a target.
 
-    `slowness` is the ratio of the current to the usual duration of work; it rises when other work
-    competes for the target's machine.
+    `slowness` is the ratio of the current to the usual duration of work, 1 if normal; it rises when
+    other work competes for the target's machine.
     """
 
     running: int
