--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -752,7 +752,7 @@
         "a peer that does not accept, or accepts and falls silent",
         SHARDS + "test_silent_peer_is_gone_around",
         Mutant(
-            "trackwheel/relay/handed.py",
+            "trackwheel/relay/delegated.py",
             "if group.check_at <= now]",
             "if group.check_at < 0]",
         ),
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -38,11 +38,11 @@
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RepeatBudget
 from trackwheel.relay.cold import ColdAllowance, ColdService
-from trackwheel.relay.ends import tell_ends
 from trackwheel.relay.gatherers import choose_gatherers
 from trackwheel.relay.groups import PeerGroups
 from trackwheel.relay.models import Place, Target
 from trackwheel.relay.news import NEWS_MESSAGES, TargetNews
+from trackwheel.relay.outcomes import report_outcomes
 from trackwheel.relay.peers import RELAY_MESSAGES, PeerBox
 from trackwheel.relay.service import RelayService
 from trackwheel.relay.taken import TakenGroups
@@ -111,7 +111,7 @@
         self.telling = TargetTelling(self.hub, TargetNews(self.board), self.transport, self.log)
         self.groups = PeerGroups(self.hub, wire, self.log)
         self.quarantine = Quarantine(self.hub, PlatformHeldStore(self.store), self.log)
-        tell_ends(self.transport, self.quarantine)
+        report_outcomes(self.transport, self.quarantine)
         self.taken = TakenGroups(
             self.hub,
             self.board,
--- a/trackwheel/relay/asking.py
+++ b/trackwheel/relay/asking.py
@@ -6,8 +6,8 @@
 from trackwheel.relay.board import Board, Lack
 from trackwheel.relay.budget import RepeatBudget
 from trackwheel.relay.const import LATE_RETRY_PACES, RETRY_PACES
+from trackwheel.relay.delegated import DelegatedGroups
 from trackwheel.relay.gather_models import CancelPart, GatherPlan, SendPart
-from trackwheel.relay.handed import DelegatedGroups
 from trackwheel.relay.shards import Shard, ShardTracker
 
 DECLINED: Final = "declined"
--- a/trackwheel/relay/board.py
+++ b/trackwheel/relay/board.py
@@ -15,8 +15,8 @@
     OTHER_DOMAIN_COST_AIMS,
 )
 from trackwheel.relay.models import Life, Load, Outcome, Place, RouteKey, Target
-from trackwheel.relay.pace import ResponseTimes
 from trackwheel.relay.record import InFlightRequest, TargetRecord
+from trackwheel.relay.response_times import ResponseTimes
 
 
 class Choice(NamedTuple):
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -22,6 +22,7 @@
 from trackwheel.relay.budget import RepeatBudget
 from trackwheel.relay.closings import Closings
 from trackwheel.relay.const import DECLINE_PACES, LOGGED_SHARDS
+from trackwheel.relay.delegated import DelegatedGroups
 from trackwheel.relay.gather_models import (
     CancelGroup,
     Declined,
@@ -31,7 +32,6 @@
     PeerSilent,
     Regrouper,
 )
-from trackwheel.relay.handed import DelegatedGroups
 from trackwheel.relay.handing import GroupHanding
 from trackwheel.relay.models import Outcome, Part, Passage, TargetEnd
 from trackwheel.relay.parts import ReceivedParts
--- a/trackwheel/relay/handing.py
+++ b/trackwheel/relay/handing.py
@@ -3,8 +3,8 @@
 from collections.abc import Sequence
 
 from trackwheel.relay.board import Board
+from trackwheel.relay.delegated import DelegatedGroup, DelegatedGroups
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan, Regrouper, SendGroup
-from trackwheel.relay.handed import DelegatedGroup, DelegatedGroups
 from trackwheel.relay.models import Passage
 from trackwheel.relay.parts import ReceivedParts
 from trackwheel.relay.shards import ShardTracker
--- a/trackwheel/relay/ends.py
+++ b/trackwheel/relay/outcomes.py
@@ -5,7 +5,7 @@
 from trackwheel.relay.transport import Sending, TargetTransport
 
 
-def tell_ends(transport: TargetTransport, quarantine: Quarantine) -> None:
+def report_outcomes(transport: TargetTransport, quarantine: Quarantine) -> None:
     """Report to the quarantine how each request of this box ends at its target."""
 
     def ended(sending: Sending, outcome: Outcome, sent_at: float) -> None:
