--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -27,7 +27,7 @@
 )
 from trackwheel.relay.gatherers import choose_gatherers
 from trackwheel.relay.grouping import GroupPlanner
-from trackwheel.relay.models import Load, Outcome, Part, Place, RouteKey, Target, TargetEnd
+from trackwheel.relay.models import Load, Outcome, Part, Place, RouteKey, Target, TargetResult
 from trackwheel.relay.news import TargetDown, TargetNews
 from trackwheel.relay.peers import PeerBoard, PeerBox
 
@@ -193,7 +193,7 @@
         part = None
         if outcome is Outcome.OK:
             part = Part(shard.encode(), [shard.encode().ljust(16)])
-        end = TargetEnd(outcome, None, b"", None, outcome.value)
+        end = TargetResult(outcome, None, b"", None, outcome.value)
         self.perform(self.gather.part_ended(token, end, part, self.box.fleet.agenda.now))
         if part is not None:
             self.on_part()
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -78,7 +78,7 @@
     ],
 )
 def test_ends_at_targets(status: int, headers: Headers, outcome: Outcome) -> None:
-    assert WIRE.read_end(Response(status, headers, b""), False).outcome is outcome
+    assert WIRE.read_result(Response(status, headers, b""), False).outcome is outcome
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
 )
 def test_told_load(value: bytes, load: Load | None) -> None:
     answer = Response(200, (ID, STAMP, (b"x-server-load", value)), b"")
-    assert WIRE.read_end(answer, False).load == load
+    assert WIRE.read_result(answer, False).load == load
 
 
 def test_load_that_cannot_be_read_is_logged_once_and_counted() -> None:
@@ -121,7 +121,7 @@
 )
 def test_cold_time_is_read_of_any_answer(told: bytes | None, cold_s: float) -> None:
     headers = (ID, STAMP) if told is None else (ID, STAMP, (b"x-warmup-ms", told))
-    assert WIRE.read_end(Response(200, headers, b""), False).cold_s == cold_s
+    assert WIRE.read_result(Response(200, headers, b""), False).cold_s == cold_s
 
 
 @pytest.mark.parametrize(
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -7,7 +7,7 @@
 from trackwheel.http1.models import Response
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import BudgetRule, RepeatBudget
-from trackwheel.relay.models import Load, Outcome, Place, RouteKey, Target, TargetEnd
+from trackwheel.relay.models import Load, Outcome, Place, RouteKey, Target, TargetResult
 
 HERE = Place("here", "here-a")
 THERE = Place("there", "there-a")
@@ -27,11 +27,11 @@
     return Target(name, service, "127.0.0.1:1", place, 2, leaving, doubtful, 0.0)
 
 
-def end(outcome: Outcome, load: Load | None = None) -> TargetEnd:
+def end(outcome: Outcome, load: Load | None = None) -> TargetResult:
     answer = Response(500, (), b"") if outcome is Outcome.FAILED else None
     if outcome is Outcome.OK:
         answer = Response(200, (), b"body")
-    return TargetEnd(outcome, answer, b"sig", load, outcome.value)
+    return TargetResult(outcome, answer, b"sig", load, outcome.value)
 
 
 @pytest.fixture
--- a/tests/relay/test_homes.py
+++ b/tests/relay/test_homes.py
@@ -14,7 +14,7 @@
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import GatherFailed, GatherPlan, SendGroup, SendPart
 from trackwheel.relay.grouping import GroupPlanner
-from trackwheel.relay.models import Outcome, Place, RouteKey, TargetEnd
+from trackwheel.relay.models import Outcome, Place, RouteKey, TargetResult
 from trackwheel.relay.peers import RELAY_MESSAGES, GroupForward, PeerBoard, PeerBox
 from trackwheel.relay.single import SendSingle, Single, SingleFailed, SinglePlan
 
@@ -113,7 +113,7 @@
         assert all(group.place.region in homes for group in groups)
         commands = []
         for command in sent:
-            end = TargetEnd(outcome, None, b"", None, "")
+            end = TargetResult(outcome, None, b"", None, "")
             board.sent(command.target, command.token, route, now)
             board.ended(command.target, command.token, outcome, None, now)
             commands += gather.part_ended(command.token, end, None, now)
--- a/trackwheel/platform/wire.py
+++ b/trackwheel/platform/wire.py
@@ -21,7 +21,7 @@
     TARGET_HEADERS,
 )
 from trackwheel.relay.fingerprint import fingerprint
-from trackwheel.relay.models import CallerRequest, Outcome, TargetEnd
+from trackwheel.relay.models import CallerRequest, Outcome, TargetResult
 from trackwheel.units import MILLISECONDS
 
 DEFAULT_DEADLINE_S = 30.0
@@ -74,25 +74,25 @@
             return "the answer belongs to another request"
         return ""
 
-    def read_end(self, answer: Response, single: bool) -> TargetEnd:
+    def read_result(self, answer: Response, single: bool) -> TargetResult:
         """Return how a target answered."""
         load = self._loads.read(header(answer.headers, HEADER_LOAD))
         cold_ms = read_number(header(answer.headers, HEADER_COLD) or b"") or 0
         cold_s = cold_ms / MILLISECONDS
         signature = header(answer.headers, HEADER_SIGNATURE) or b""
         if answer.status == STATUS_ELSEWHERE:
-            return TargetEnd(Outcome.ELSEWHERE, None, b"", None, "another target is there")
+            return TargetResult(Outcome.ELSEWHERE, None, b"", None, "another target is there")
         if header(answer.headers, HEADER_NOT_RUN) is not None:
             detail = f"not run, status {answer.status}"
-            return TargetEnd(Outcome.NOT_RUN, None, b"", load, detail, cold_s)
+            return TargetResult(Outcome.NOT_RUN, None, b"", load, detail, cold_s)
         if not 200 <= answer.status < 300:
             detail = f"status {answer.status}"
-            return TargetEnd(Outcome.FAILED, answer, signature, load, detail, cold_s)
+            return TargetResult(Outcome.FAILED, answer, signature, load, detail, cold_s)
         if not signature:
-            return TargetEnd(Outcome.BROKEN, None, b"", load, "no signature", cold_s)
+            return TargetResult(Outcome.BROKEN, None, b"", load, "no signature", cold_s)
         if not single and header(answer.headers, HEADER_ENCODING) is not None:
-            return TargetEnd(Outcome.BROKEN, None, b"", load, "encoded body", cold_s)
-        return TargetEnd(Outcome.OK, answer, signature, load, "", cold_s)
+            return TargetResult(Outcome.BROKEN, None, b"", load, "encoded body", cold_s)
+        return TargetResult(Outcome.OK, answer, signature, load, "", cold_s)
 
     def single_answer(self, answer: Response) -> Response:
         """Return what the client gets of a target's answer."""
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -33,7 +33,7 @@
     Regrouper,
 )
 from trackwheel.relay.handing import GroupHanding
-from trackwheel.relay.models import Outcome, Part, Passage, TargetEnd
+from trackwheel.relay.models import Outcome, Part, Passage, TargetResult
 from trackwheel.relay.parts import ReceivedParts
 from trackwheel.relay.shards import ShardTracker
 
@@ -119,7 +119,7 @@
         return bool(choices) and not self._board.is_beside(choices[0].target)
 
     def part_ended(
-        self, token: int, end: TargetEnd, part: Part | None, now: float
+        self, token: int, end: TargetResult, part: Part | None, now: float
     ) -> list[GatherCommand]:
         """Handle the end of one request; `part` holds the shard's records if it succeeded."""
         name = self._asking.ended(token)
--- a/trackwheel/relay/models.py
+++ b/trackwheel/relay/models.py
@@ -115,7 +115,7 @@
 OPEN_GATE: Final[SendGate] = _OpenGate()
 
 
-class TargetEnd(NamedTuple):
+class TargetResult(NamedTuple):
     """Result of one request to one target; `cold_s` is its reported remaining warm-up time."""
 
     outcome: Outcome
@@ -162,7 +162,7 @@
     def check_answer(self, request_id: str, answer: Response) -> str:
         """Return why an answer does not belong to a request; an empty text when it does."""
 
-    def read_end(self, answer: Response, single: bool) -> TargetEnd:
+    def read_result(self, answer: Response, single: bool) -> TargetResult:
         """Return the result of a target's answer; `single` means it answers the whole request."""
 
     def single_answer(self, answer: Response) -> Response:
--- a/trackwheel/relay/runs.py
+++ b/trackwheel/relay/runs.py
@@ -17,7 +17,7 @@
     SendPart,
 )
 from trackwheel.relay.merge import top_records
-from trackwheel.relay.models import CallerRequest, Outcome, Part, RouteKey, Target, TargetEnd
+from trackwheel.relay.models import CallerRequest, Outcome, Part, RouteKey, Target, TargetResult
 from trackwheel.relay.single import (
     CancelSingle,
     SendSingle,
@@ -61,7 +61,7 @@
         transport: TargetTransport,
         request: CallerRequest,
         route: RouteKey,
-        on_end: Callable[[int, TargetEnd], None],
+        on_end: Callable[[int, TargetResult], None],
     ) -> None:
         self._transport = transport
         self._request = request
@@ -82,7 +82,7 @@
         token = self._token_by_number.pop(number)
         self._transport.withdraw(token, target, self._request.fingerprint)
 
-    def _ended(self, number: int, end: TargetEnd) -> None:
+    def _ended(self, number: int, end: TargetResult) -> None:
         self._token_by_number.pop(number, None)
         self._on_end(number, end)
 
@@ -152,7 +152,7 @@
     def _tick(self) -> None:
         self.perform(self._gather.tick(steady_now()))
 
-    def _ended(self, number: int, end: TargetEnd) -> None:
+    def _ended(self, number: int, end: TargetResult) -> None:
         part = None
         if end.outcome is Outcome.OK and end.answer is not None:
             part = Part(end.signature, top_records(end.answer.body, self._gather.plan.top_k))
@@ -188,7 +188,7 @@
     def _tick(self) -> None:
         self._perform(self._single.tick(steady_now()))
 
-    def _ended(self, number: int, end: TargetEnd) -> None:
+    def _ended(self, number: int, end: TargetResult) -> None:
         self._perform(self._single.target_ended(number, end, steady_now()))
 
     def _perform(self, commands: list[SingleCommand]) -> None:
--- a/trackwheel/relay/single.py
+++ b/trackwheel/relay/single.py
@@ -10,7 +10,7 @@
 from trackwheel.relay.attempts import NEVER, Attempts, Refusal, hedge_time
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RepeatBudget
-from trackwheel.relay.models import OPEN_GATE, Outcome, RouteKey, SendGate, Target, TargetEnd
+from trackwheel.relay.models import OPEN_GATE, Outcome, RouteKey, SendGate, Target, TargetResult
 
 
 class SinglePlan(NamedTuple):
@@ -82,7 +82,7 @@
             self._fail(lack.value, False)
         return self._take_commands()
 
-    def target_ended(self, token: int, end: TargetEnd, now: float) -> list[SingleCommand]:
+    def target_ended(self, token: int, end: TargetResult, now: float) -> list[SingleCommand]:
         """Handle the end of the request at one target."""
         if self.ended or token not in self._attempts.target_by_token:
             return []
@@ -149,7 +149,7 @@
         self._commands.append(SendSingle(token, target, reason))
         return True
 
-    def _give_up(self, end: TargetEnd) -> None:
+    def _give_up(self, end: TargetResult) -> None:
         """End with a target's error response, or else fail."""
         if self._failure is not None:
             self._answer(self._failure)
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -7,7 +7,15 @@
 from trackwheel.http1.models import EndKind, ExchangeEnd, Request, Response
 from trackwheel.http1.pool import Job, TargetPool
 from trackwheel.relay.board import Board, TargetBelief
-from trackwheel.relay.models import CallerRequest, Life, Outcome, RouteKey, Target, TargetEnd, Wire
+from trackwheel.relay.models import (
+    CallerRequest,
+    Life,
+    Outcome,
+    RouteKey,
+    Target,
+    TargetResult,
+    Wire,
+)
 from trackwheel.settings import split_address
 from trackwheel.telemetry.events import EventLog
 from trackwheel.units import MILLISECONDS
@@ -26,7 +34,7 @@
 }
 """How a request ended without an answer."""
 
-OnTargetEnd = Callable[[TargetEnd], None]
+OnTargetResult = Callable[[TargetResult], None]
 
 OnTakenBack = Callable[[bytes, Target], None]
 """Take the fingerprint of a request that was taken back from a target."""
@@ -97,7 +105,7 @@
         for life in lives & self._pool_by_life.keys():
             self._pool_by_life[life].refuse_waiting()
 
-    def send(self, sending: Sending, on_end: OnTargetEnd) -> None:
+    def send(self, sending: Sending, on_end: OnTargetResult) -> None:
         """Send a request; `on_end` is called once unless it is withdrawn."""
         target, request = sending.target, sending.request
         sent_at = self._clock()
@@ -135,7 +143,7 @@
                 handler(fingerprint, target)
 
     def _write(
-        self, sending: Sending, end: TargetEnd, belief: TargetBelief | None, sent_at: float
+        self, sending: Sending, end: TargetResult, belief: TargetBelief | None, sent_at: float
     ) -> None:
         """Write what failed at a target, and what is believed of the target from now on."""
         target = sending.target
@@ -169,10 +177,10 @@
                 after=end.outcome.value,
             )
 
-    def _read(self, end: ExchangeEnd, single: bool) -> TargetEnd:
+    def _read(self, end: ExchangeEnd, single: bool) -> TargetResult:
         if end.answer is not None:
-            return self._wire.read_end(end.answer, single)
-        return TargetEnd(_OUTCOME_BY_KIND[end.kind], None, b"", None, end.detail)
+            return self._wire.read_result(end.answer, single)
+        return TargetResult(_OUTCOME_BY_KIND[end.kind], None, b"", None, end.detail)
 
     def _pool(self, target: Target) -> TargetPool:
         pool = self._pool_by_life.get(target.life)
