--- a/tests/quarantine/test_fleet.py
+++ b/tests/quarantine/test_fleet.py
@@ -14,7 +14,7 @@
 from trackwheel.quarantine.const import TELL_AGAIN_S
 from trackwheel.quarantine.models import CrashReport, Message, RequestsAnswered, TellAll
 from trackwheel.quarantine.suspects import Suspects
-from trackwheel.relay.models import Passage
+from trackwheel.relay.models import SendPermission
 
 ENDS = b"ends"
 WAY_S = 0.02
@@ -52,8 +52,8 @@
 
     def held_at(self) -> int:
         """Return at how many boxes the request is held."""
-        passages = [suspects.passage(ENDS, self.now) for suspects in self.suspects]
-        return passages.count(Passage.SHUT)
+        permissions = [suspects.permission(ENDS, self.now) for suspects in self.suspects]
+        return permissions.count(SendPermission.SHUT)
 
     def _act(self, box: int) -> None:
         for command in self.suspects[box].tick(self.now):
--- a/tests/quarantine/test_suspects.py
+++ b/tests/quarantine/test_suspects.py
@@ -34,7 +34,7 @@
     TellAll,
 )
 from trackwheel.quarantine.suspects import Suspects
-from trackwheel.relay.models import Life, Passage
+from trackwheel.relay.models import Life, SendPermission
 
 ENDS, OTHER = b"ends", b"other"
 Step = Callable[[Suspects], None]
@@ -268,7 +268,7 @@
     for step in steps:
         step(suspects)
     suspects.tick(now)
-    shut = {one for one in (ENDS, OTHER) if suspects.passage(one, now) is Passage.SHUT}
+    shut = {one for one in (ENDS, OTHER) if suspects.permission(one, now) is SendPermission.SHUT}
     assert shut == held
     assert suspects.held == len(held)
     assert {row.fingerprint for row in suspects.held_requests(now).rows} == held
@@ -277,14 +277,14 @@
 def test_suspect_waits_until_it_is_judged() -> None:
     suspects = Suspects()
     closed(ENDS, 1, 2)(suspects)
-    assert suspects.passage(ENDS, 1.0) is Passage.OPEN
+    assert suspects.permission(ENDS, 1.0) is SendPermission.OPEN
     assert suspects.waits_s(ENDS, 1.0) == 0.0
     closed(ENDS, 3)(suspects)
-    assert suspects.passage(ENDS, 1.0) is Passage.WAIT
+    assert suspects.permission(ENDS, 1.0) is SendPermission.WAIT
     assert suspects.waits_s(ENDS, 1.0) == SETTLE_S
     suspects.tick(suspects.next_wake())
     suspects.tick(suspects.next_wake())
-    assert suspects.passage(ENDS, SETTLED) is Passage.SHUT
+    assert suspects.permission(ENDS, SETTLED) is SendPermission.SHUT
     assert suspects.waits_s(ENDS, SETTLED) == HOLD_S
     assert suspects.next_wake() == NEVER
 
@@ -293,15 +293,15 @@
     suspects = Suspects()
     closed(ENDS, 1, 2, 3, 4)(suspects)
     closed(OTHER, 1, 2, 3)(suspects)
-    assert suspects.passage(OTHER, 1.0) is Passage.WAIT
+    assert suspects.permission(OTHER, 1.0) is SendPermission.WAIT
     suspects.tick(SETTLED)
-    assert suspects.passage(OTHER, SETTLED) is Passage.ONE
+    assert suspects.permission(OTHER, SETTLED) is SendPermission.ONE
     assert suspects.waits_s(OTHER, SETTLED) == 0.0
     suspects.begin_trial(OTHER, SETTLED)
-    assert suspects.passage(OTHER, SETTLED) is Passage.WAIT
-    assert suspects.passage(OTHER, SETTLED + TRIAL_S) is Passage.ONE
+    assert suspects.permission(OTHER, SETTLED) is SendPermission.WAIT
+    assert suspects.permission(OTHER, SETTLED + TRIAL_S) is SendPermission.ONE
     answered(OTHER, SETTLED + 0.1)(suspects)
-    assert suspects.passage(OTHER, SETTLED + 0.1) is Passage.OPEN
+    assert suspects.permission(OTHER, SETTLED + 0.1) is SendPermission.OPEN
     assert messages(suspects.tick(SETTLED + 0.1))[-1] == RequestsAnswered([OTHER])
 
 
@@ -310,7 +310,7 @@
     closed(ENDS, 1, 2, 3, 4)(suspects)
     closed(OTHER, 1, 2)(suspects)
     suspects.tick(SETTLED)
-    assert suspects.passage(OTHER, SETTLED) is Passage.OPEN
+    assert suspects.permission(OTHER, SETTLED) is SendPermission.OPEN
 
 
 def test_requests_with_the_same_ends_go_to_one_target_each() -> None:
@@ -318,7 +318,7 @@
     closed(ENDS, 1, 2, 3)(suspects)
     closed(OTHER, 1, 2, 3)(suspects)
     suspects.tick(SETTLED)
-    assert {suspects.passage(one, SETTLED) for one in (ENDS, OTHER)} == {Passage.ONE}
+    assert {suspects.permission(one, SETTLED) for one in (ENDS, OTHER)} == {SendPermission.ONE}
 
 
 def test_request_that_was_held_goes_to_one_target_first() -> None:
@@ -326,18 +326,18 @@
     closed(ENDS, 1, 2, 3)(suspects)
     suspects.tick(SETTLED)
     suspects.tick(SETTLED + HOLD_S)
-    assert suspects.passage(ENDS, SETTLED + HOLD_S) is Passage.ONE
+    assert suspects.permission(ENDS, SETTLED + HOLD_S) is SendPermission.ONE
     closed(ENDS, 4, at=SETTLED + HOLD_S)(suspects)
-    assert suspects.passage(ENDS, SETTLED + HOLD_S) is Passage.WAIT
+    assert suspects.permission(ENDS, SETTLED + HOLD_S) is SendPermission.WAIT
     suspects.tick(SETTLED + HOLD_S + SETTLE_S)
-    assert suspects.passage(ENDS, SETTLED + HOLD_S + SETTLE_S) is Passage.SHUT
+    assert suspects.permission(ENDS, SETTLED + HOLD_S + SETTLE_S) is SendPermission.SHUT
 
 
 def test_verdict_does_not_wait_for_ever_for_newer_suspects() -> None:
     suspects = Suspects()
     closed(ENDS, 1, 2, 3)(suspects)
     at = 1.0
-    while suspects.passage(ENDS, at) is not Passage.SHUT:
+    while suspects.permission(ENDS, at) is not SendPermission.SHUT:
         at += 0.1
         newer = b"%f" % at
         closed(newer, *range(10, 20), at=at)(suspects)
--- a/tests/relay/test_crashing_query.py
+++ b/tests/relay/test_crashing_query.py
@@ -12,7 +12,7 @@
 from trackwheel.relay.budget import RepeatBudget
 from trackwheel.relay.gather import CRASHES_TARGETS
 from trackwheel.relay.gather_models import Gathered, GatherFailed
-from trackwheel.relay.models import Outcome, Passage
+from trackwheel.relay.models import Outcome, SendPermission
 from trackwheel.relay.single import Single, SingleFailed, SinglePlan
 
 
@@ -20,9 +20,9 @@
     """A gate whose answer the test sets."""
 
     def __init__(self) -> None:
-        self.now = Passage.OPEN
+        self.now = SendPermission.OPEN
 
-    def passage(self, now: float) -> Passage:
+    def permission(self, now: float) -> SendPermission:
         return self.now
 
 
@@ -88,7 +88,7 @@
 def test_held_query_ends_at_once(board: Board, budget: RepeatBudget, partial: bool) -> None:
     gate = Gate()
     session = Session(board, budget, partial=partial, gate=gate)
-    gate.now = Passage.SHUT
+    gate.now = SendPermission.SHUT
     session.fail("s0", Outcome.CLOSED)
     assert not session.open
     if partial:
@@ -104,28 +104,33 @@
     gate = Gate()
     elsewhere = Elsewhere()
     session = Session(board, budget, gate=gate, elsewhere=elsewhere)
-    gate.now = Passage.WAIT
+    gate.now = SendPermission.WAIT
     session.answer("s1")
     session.fail("s0", Outcome.CLOSED)
     while (at := session.gather.next_wake()) < ANSWER_AT:
         session.tick(at)
     assert len(session.sent) == len(SHARDS)
     assert not session.groups
-    gate.now = Passage.OPEN
+    gate.now = SendPermission.OPEN
     session.tick(session.gather.next_wake())
     assert session.groups
 
 
 @pytest.mark.parametrize(
-    ("passage", "sends"),
-    [(Passage.OPEN, 2), (Passage.ONE, 1), (Passage.WAIT, 1), (Passage.SHUT, 1)],
+    ("permission", "sends"),
+    [
+        (SendPermission.OPEN, 2),
+        (SendPermission.ONE, 1),
+        (SendPermission.WAIT, 1),
+        (SendPermission.SHUT, 1),
+    ],
 )
 def test_request_to_one_target_is_not_sent_again(
-    board: Board, budget: RepeatBudget, passage: Passage, sends: int
+    board: Board, budget: RepeatBudget, permission: SendPermission, sends: int
 ) -> None:
     gate = Gate()
     single = Single(SinglePlan(ROUTE, "s0", True, 3, 0.18, 1.0, gate), board, budget)
     single.start(0.0)
-    gate.now = passage
+    gate.now = permission
     commands = single.target_ended(0, end(Outcome.CLOSED), 0.02)
     assert (commands == [SingleFailed(True, False, "closed")]) is (sends == 1)
--- a/trackwheel/quarantine/service.py
+++ b/trackwheel/quarantine/service.py
@@ -24,7 +24,7 @@
     TellAll,
 )
 from trackwheel.quarantine.suspects import Suspects
-from trackwheel.relay.models import Life, Passage
+from trackwheel.relay.models import Life, SendPermission
 from trackwheel.relay.timer import Timer
 
 
@@ -40,12 +40,12 @@
         self._request = request
         self._for_peer = for_peer
 
-    def passage(self, now: float) -> Passage:
+    def permission(self, now: float) -> SendPermission:
         """Return whether it may be sent at a time (monotonic seconds)."""
-        passage = self._suspects.passage(self._request, now)
-        if self._for_peer and passage is Passage.ONE:
-            return Passage.OPEN
-        return passage
+        permission = self._suspects.permission(self._request, now)
+        if self._for_peer and permission is SendPermission.ONE:
+            return SendPermission.OPEN
+        return permission
 
 
 class Quarantine:
@@ -87,12 +87,12 @@
 
     def holds(self, request: bytes) -> bool:
         """Return whether a request may go to no target for the time being."""
-        return self._suspects.passage(request, steady_now()) is Passage.SHUT
+        return self._suspects.permission(request, steady_now()) is SendPermission.SHUT
 
     def goes_to_one(self, request: bytes) -> bool:
         """Return whether a request goes to one target now, and to others only if that answers."""
         now = steady_now()
-        if self._suspects.passage(request, now) is not Passage.ONE:
+        if self._suspects.permission(request, now) is not SendPermission.ONE:
             return False
         self._suspects.begin_trial(request, now)
         return True
--- a/trackwheel/quarantine/suspects.py
+++ b/trackwheel/quarantine/suspects.py
@@ -39,7 +39,7 @@
     RequestsHeld,
     TellAll,
 )
-from trackwheel.relay.models import Life, Passage
+from trackwheel.relay.models import Life, SendPermission
 from trackwheel.units import MILLISECONDS
 
 
@@ -62,17 +62,17 @@
         """Return how many requests are held."""
         return len(self._held_until_by_request)
 
-    def passage(self, request: bytes, now: float) -> Passage:
+    def permission(self, request: bytes, now: float) -> SendPermission:
         """Return whether a request may go to a target."""
         if self._held_until_by_request.get(request, 0.0) > now:
-            return Passage.SHUT
+            return SendPermission.SHUT
         evidence = self._evidence_by_request.get(request)
         if evidence is not None and evidence.suspect_since < NEVER:
-            return Passage.WAIT
+            return SendPermission.WAIT
         if not self._is_on_trial(request, now):
-            return Passage.OPEN
+            return SendPermission.OPEN
         at_target = self._trial_by_request[request].is_at_target(now)
-        return Passage.WAIT if at_target else Passage.ONE
+        return SendPermission.WAIT if at_target else SendPermission.ONE
 
     def begin_trial(self, request: bytes, now: float) -> None:
         """Take that a request goes to one target now: others of its content wait for its end."""
@@ -80,12 +80,12 @@
 
     def waits_s(self, request: bytes, now: float) -> float:
         """Return in how many seconds a request may be tried again, 0 for now."""
-        match self.passage(request, now):
-            case Passage.SHUT:
+        match self.permission(request, now):
+            case SendPermission.SHUT:
                 return self._held_until_by_request[request] - now
-            case Passage.WAIT:
+            case SendPermission.WAIT:
                 return SETTLE_S
-            case Passage.OPEN | Passage.ONE:
+            case SendPermission.OPEN | SendPermission.ONE:
                 return 0.0
 
     def closed(self, request: bytes, life: Life, now: float) -> None:
--- a/trackwheel/relay/attempts.py
+++ b/trackwheel/relay/attempts.py
@@ -15,9 +15,9 @@
     NOTHING_RAN,
     OPEN_GATE,
     Outcome,
-    Passage,
     RouteKey,
     SendGate,
+    SendPermission,
     Target,
 )
 
@@ -132,11 +132,11 @@
 
         `needed` tells that the answer fails without this attempt.
         """
-        passage = self._gate.passage(now)
-        if passage is Passage.WAIT:
+        permission = self._gate.permission(now)
+        if permission is SendPermission.WAIT:
             return Refusal.NOT_NOW
         # ONE: targets have already ended during it; the client's next attempt will be the trial.
-        if passage is not Passage.OPEN or not self.may_run_again:
+        if permission is not SendPermission.OPEN or not self.may_run_again:
             return Refusal.NO_MORE
         choices = self._rank(board, route, now)
         if not choices and board.may_ask_soon(self._service, route, now):
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -33,7 +33,7 @@
     Regrouper,
 )
 from trackwheel.relay.handing import GroupHanding
-from trackwheel.relay.models import Outcome, Part, Passage, TargetResult
+from trackwheel.relay.models import Outcome, Part, SendPermission, TargetResult
 from trackwheel.relay.parts import ReceivedParts
 from trackwheel.relay.shards import ShardTracker
 
@@ -119,7 +119,7 @@
         return bool(choices) and not self._board.is_beside(choices[0].target)
 
     def part_ended(
-        self, token: int, end: TargetResult, part: Part | None, now: float
+        self, token: int, result: TargetResult, part: Part | None, now: float
     ) -> list[GatherCommand]:
         """Handle the end of one request; `part` holds the shard's records if it succeeded."""
         name = self._asking.ended(token)
@@ -132,14 +132,14 @@
             self._mark_received(name)
             return self._finish_if_done(now)
         instance = shard.attempts.target_by_token[token].instance
-        shard.last_failure = f"{end.outcome.value} at {instance}"
-        shard.attempts.mark_failed(token, end.outcome, now)
-        if end.outcome is Outcome.CLOSED:
+        shard.last_failure = f"{result.outcome.value} at {instance}"
+        shard.attempts.mark_failed(token, result.outcome, now)
+        if result.outcome is Outcome.CLOSED:
             self._closings.own += 1
         if self._suspects_own_query():
             self._asking.hold_back(name, now)
         else:
-            self._ask(name, end.outcome.value, now)
+            self._ask(name, result.outcome.value, now)
         return self._finish_if_done(now)
 
     def group_accepted(self, number: int) -> None:
@@ -336,7 +336,7 @@
         return commands
 
     def _check_end(self, now: float) -> None:
-        shut = self.plan.gate.passage(now) is Passage.SHUT
+        shut = self.plan.gate.permission(now) is SendPermission.SHUT
         pending = self._shards.can_receive_more and not shut
         if len(self.parts) == len(self.plan.shards):
             self._answer("whole")
--- a/trackwheel/relay/handing.py
+++ b/trackwheel/relay/handing.py
@@ -5,7 +5,7 @@
 from trackwheel.relay.board import Board
 from trackwheel.relay.delegated import DelegatedGroup, DelegatedGroups
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan, Regrouper, SendGroup
-from trackwheel.relay.models import Passage
+from trackwheel.relay.models import SendPermission
 from trackwheel.relay.parts import ReceivedParts
 from trackwheel.relay.shards import ShardTracker
 
@@ -56,7 +56,7 @@
         }
         if self._regrouper is None or not tried_by_shard or now >= self._plan.end_at:
             return []
-        if self._plan.gate.passage(now) is not Passage.OPEN:
+        if self._plan.gate.permission(now) is not SendPermission.OPEN:
             return []
         groups = self._regrouper.regroup(tried_by_shard, self._plan, repeat, now)
         return [self.hand_over(group) for group in groups]
--- a/trackwheel/relay/models.py
+++ b/trackwheel/relay/models.py
@@ -89,7 +89,7 @@
 """Outcomes that guarantee that the target has not run the request and never will."""
 
 
-class Passage(StrEnum):
+class SendPermission(StrEnum):
     """Whether a request may be sent: to any target, to one as a trial, not yet, or not at all."""
 
     OPEN = "open"
@@ -101,15 +101,15 @@
 class SendGate(Protocol):
     """Decides whether one request may be sent to targets."""
 
-    def passage(self, now: float) -> Passage:
+    def permission(self, now: float) -> SendPermission:
         """Return whether it may be sent at `now` (monotonic seconds)."""
 
 
 class _OpenGate:
     """Lets every request pass."""
 
-    def passage(self, now: float) -> Passage:
-        return Passage.OPEN
+    def permission(self, now: float) -> SendPermission:
+        return SendPermission.OPEN
 
 
 OPEN_GATE: Final[SendGate] = _OpenGate()
--- a/trackwheel/relay/runs.py
+++ b/trackwheel/relay/runs.py
@@ -75,16 +75,16 @@
         """Send the request to a target; `on_end` is called unless it is withdrawn."""
         token = self._token_by_number[number] = object()
         sending = Sending(token, self._request, target, self._route, reason, single, once)
-        self._transport.send(sending, lambda end: self._ended(number, end))
+        self._transport.send(sending, lambda result: self._ended(number, result))
 
     def withdraw(self, number: int, target: Target) -> None:
         """Withdraw a request."""
         token = self._token_by_number.pop(number)
         self._transport.withdraw(token, target, self._request.fingerprint)
 
-    def _ended(self, number: int, end: TargetResult) -> None:
+    def _ended(self, number: int, result: TargetResult) -> None:
         self._token_by_number.pop(number, None)
-        self._on_end(number, end)
+        self._on_end(number, result)
 
 
 class GatherRun:
@@ -152,11 +152,11 @@
     def _tick(self) -> None:
         self.perform(self._gather.tick(steady_now()))
 
-    def _ended(self, number: int, end: TargetResult) -> None:
+    def _ended(self, number: int, result: TargetResult) -> None:
         part = None
-        if end.outcome is Outcome.OK and end.answer is not None:
-            part = Part(end.signature, top_records(end.answer.body, self._gather.plan.top_k))
-        self.perform(self._gather.part_ended(number, end, part, steady_now()))
+        if result.outcome is Outcome.OK and result.answer is not None:
+            part = Part(result.signature, top_records(result.answer.body, self._gather.plan.top_k))
+        self.perform(self._gather.part_ended(number, result, part, steady_now()))
         if part is not None and self._on_part is not None:
             self._on_part()
 
@@ -188,8 +188,8 @@
     def _tick(self) -> None:
         self._perform(self._single.tick(steady_now()))
 
-    def _ended(self, number: int, end: TargetResult) -> None:
-        self._perform(self._single.target_ended(number, end, steady_now()))
+    def _ended(self, number: int, result: TargetResult) -> None:
+        self._perform(self._single.target_ended(number, result, steady_now()))
 
     def _perform(self, commands: list[SingleCommand]) -> None:
         done: SingleAnswered | SingleFailed | None = None
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -23,7 +23,7 @@
 from trackwheel.relay.grouping import GroupPlanner
 from trackwheel.relay.groups import PeerGroups
 from trackwheel.relay.merge import merge_records
-from trackwheel.relay.models import OPEN_GATE, CallerRequest, Passage, Place, RouteKey, Wire
+from trackwheel.relay.models import OPEN_GATE, CallerRequest, Place, RouteKey, SendPermission, Wire
 from trackwheel.relay.peers import PeerBox
 from trackwheel.relay.runs import GatherRun, GatherTask, SingleRun
 from trackwheel.relay.single import Single, SingleAnswered, SingleFailed, SinglePlan
@@ -174,7 +174,10 @@
         """Send a query that may end targets to one of them, and serve it once that has answered."""
 
         def done(result: SingleAnswered | SingleFailed) -> None:
-            if self._quarantine.gate(caller.fingerprint).passage(steady_now()) is Passage.OPEN:
+            if (
+                self._quarantine.gate(caller.fingerprint).permission(steady_now())
+                is SendPermission.OPEN
+            ):
                 self._serve_query(caller, route, version, exchange)
                 return
             failed = result
--- a/trackwheel/relay/single.py
+++ b/trackwheel/relay/single.py
@@ -82,22 +82,22 @@
             self._fail(lack.value, False)
         return self._take_commands()
 
-    def target_ended(self, token: int, end: TargetResult, now: float) -> list[SingleCommand]:
+    def target_ended(self, token: int, result: TargetResult, now: float) -> list[SingleCommand]:
         """Handle the end of the request at one target."""
         if self.ended or token not in self._attempts.target_by_token:
             return []
-        if end.outcome is Outcome.OK and end.answer is not None:
+        if result.outcome is Outcome.OK and result.answer is not None:
             self._attempts.mark_succeeded(token)
-            self._answer(end.answer)
+            self._answer(result.answer)
             return self._take_commands()
-        self._attempts.mark_failed(token, end.outcome, now)
-        if end.outcome is Outcome.FAILED:
-            self._failure = end.answer
+        self._attempts.mark_failed(token, result.outcome, now)
+        if result.outcome is Outcome.FAILED:
+            self._failure = result.answer
         may_repeat = self.plan.repeatable or not self._attempts.ran
-        if may_repeat and self._ask(end.outcome.value, now):
+        if may_repeat and self._ask(result.outcome.value, now):
             return self._take_commands()
         if not self._attempts.target_by_token and not (may_repeat and self._wait_for_backoff(now)):
-            self._give_up(end)
+            self._give_up(result)
         return self._take_commands()
 
     def tick(self, now: float) -> list[SingleCommand]:
@@ -149,12 +149,12 @@
         self._commands.append(SendSingle(token, target, reason))
         return True
 
-    def _give_up(self, end: TargetResult) -> None:
+    def _give_up(self, result: TargetResult) -> None:
         """End with a target's error response, or else fail."""
         if self._failure is not None:
             self._answer(self._failure)
             return
-        self._fail(end.detail or end.outcome.value, False)
+        self._fail(result.detail or result.outcome.value, False)
 
     def _answer(self, answer: Response) -> None:
         self._end()
