--- a/tests/quarantine/test_suspects.py
+++ b/tests/quarantine/test_suspects.py
@@ -34,13 +34,13 @@
     TellAll,
 )
 from trackwheel.quarantine.suspects import Suspects
-from trackwheel.relay.models import Life, SendPermission
+from trackwheel.relay.models import Incarnation, SendPermission
 
 ENDS, OTHER = b"ends", b"other"
 Step = Callable[[Suspects], None]
 
 
-def life(number: int) -> Life:
+def life(number: int) -> Incarnation:
     return f"t{number}", 0
 
 
--- a/trackwheel/quarantine/evidence.py
+++ b/trackwheel/quarantine/evidence.py
@@ -3,15 +3,15 @@
 from collections.abc import Iterable, Set
 
 from trackwheel.quarantine.const import ENDS_TO_HOLD, NEVER, REPORT_AFTER_S, SETTLE_S, TRIAL_S
-from trackwheel.relay.models import Life
+from trackwheel.relay.models import Incarnation
 
 
 class Evidence:
     """The targets that ended under one request, none of which was answered (monotonic seconds)."""
 
     def __init__(self) -> None:
-        self.lives: set[Life] = set()
-        self.own: set[Life] = set()
+        self.lives: set[Incarnation] = set()
+        self.own: set[Incarnation] = set()
         """Those that ended under it at this box."""
         self.last_at = 0.0
         self.report_at = NEVER
@@ -24,14 +24,14 @@
         """Return when it is to be reported or judged."""
         return min(self.report_at, self.suspect_since + SETTLE_S)
 
-    def add(self, lives: Iterable[Life], enough: int, now: float) -> None:
+    def add(self, lives: Iterable[Incarnation], enough: int, now: float) -> None:
         """Take ends of targets; so many are enough to be a suspect."""
         self.lives.update(lives)
         self.last_at = now
         if len(self.lives) >= enough and self.suspect_since == NEVER:
             self.suspect_since = now
 
-    def add_own(self, life: Life, now: float) -> None:
+    def add_own(self, life: Incarnation, now: float) -> None:
         """Take that one of the targets ended at this box; others are told of it soon."""
         self.own.add(life)
         if self.report_at == NEVER:
@@ -42,7 +42,7 @@
         self.report_at = NEVER
         self.is_told = True
 
-    def take_out(self, explained: Set[Life]) -> None:
+    def take_out(self, explained: Set[Incarnation]) -> None:
         """Take that another request ended some of the targets."""
         self.lives -= explained
         self.own -= explained
--- a/trackwheel/quarantine/memory.py
+++ b/trackwheel/quarantine/memory.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from trackwheel.quarantine.const import ANSWER_MEMORY_S, LEFT_S, MOST_ANSWERED, MOST_LEFT, NEVER
-from trackwheel.relay.models import Life
+from trackwheel.relay.models import Incarnation
 
 
 class AnsweredRequests:
@@ -37,17 +37,17 @@
     """Remember which requests were taken back from targets a moment ago."""
 
     def __init__(self) -> None:
-        self._left_by_life: dict[Life, list[tuple[bytes, float]]] = {}
+        self._left_by_life: dict[Incarnation, list[tuple[bytes, float]]] = {}
 
     def __len__(self) -> int:
         return len(self._left_by_life)
 
-    def add(self, request: bytes, life: Life, now: float) -> None:
+    def add(self, request: bytes, life: Incarnation, now: float) -> None:
         """Take that a request was taken back from a target, which may run it all the same."""
         if len(self._left_by_life) < MOST_LEFT:
             self._left_by_life.setdefault(life, []).append((request, now))
 
-    def take(self, life: Life, now: float) -> Iterator[bytes]:
+    def take(self, life: Incarnation, now: float) -> Iterator[bytes]:
         """Give the requests that a target which has ended may have run, each once."""
         for request, left_at in self._left_by_life.pop(life, ()):
             if now - left_at < LEFT_S:
--- a/trackwheel/quarantine/models.py
+++ b/trackwheel/quarantine/models.py
@@ -5,14 +5,14 @@
 from returns.result import Result
 
 from trackwheel.errors import TrackwheelError
-from trackwheel.relay.models import Life
+from trackwheel.relay.models import Incarnation
 
 
 class EndsUnder(NamedTuple):
     """Name the targets that ended under a request at the sender."""
 
     fingerprint: bytes
-    lives: list[Life]
+    lives: list[Incarnation]
 
 
 class CrashReport(NamedTuple):
--- a/trackwheel/quarantine/service.py
+++ b/trackwheel/quarantine/service.py
@@ -24,7 +24,7 @@
     TellAll,
 )
 from trackwheel.quarantine.suspects import Suspects
-from trackwheel.relay.models import Life, SendPermission
+from trackwheel.relay.models import Incarnation, SendPermission
 from trackwheel.relay.timer import Timer
 
 
@@ -101,7 +101,7 @@
         """Return in how many seconds a request may be tried again, 0 for now."""
         return self._suspects.waits_s(request, steady_now())
 
-    def closed(self, request: bytes, life: Life) -> None:
+    def closed(self, request: bytes, life: Incarnation) -> None:
         """Take that a target ended the connection under a request, without an answer."""
         self._suspects.closed(request, life, steady_now())
         self._wake()
@@ -111,12 +111,12 @@
         self._suspects.answered(request, steady_now())
         self._wake()
 
-    def refused(self, life: Life) -> None:
+    def refused(self, life: Incarnation) -> None:
         """Take that a target takes no connections."""
         self._suspects.refused(life, steady_now())
         self._wake()
 
-    def taken_back(self, request: bytes, life: Life) -> None:
+    def taken_back(self, request: bytes, life: Incarnation) -> None:
         """Take that a request was taken back from a target that has not answered it."""
         self._suspects.taken_back(request, life, steady_now())
 
--- a/trackwheel/quarantine/suspects.py
+++ b/trackwheel/quarantine/suspects.py
@@ -39,7 +39,7 @@
     RequestsHeld,
     TellAll,
 )
-from trackwheel.relay.models import Life, SendPermission
+from trackwheel.relay.models import Incarnation, SendPermission
 from trackwheel.units import MILLISECONDS
 
 
@@ -52,7 +52,7 @@
         self._answered = AnsweredRequests()
         self._taken_back = TakenBackRequests()
         self._trial_by_request: dict[bytes, Trial] = {}
-        self._cause_by_life: dict[Life, bytes] = {}
+        self._cause_by_life: dict[Incarnation, bytes] = {}
         """Which request ended a target, or one of those that may have."""
         self._commands: list[Command] = []
         self._due_at = NEVER
@@ -88,17 +88,17 @@
             case SendPermission.OPEN | SendPermission.ONE:
                 return 0.0
 
-    def closed(self, request: bytes, life: Life, now: float) -> None:
+    def closed(self, request: bytes, life: Incarnation, now: float) -> None:
         """Take that a target ended the connection under a request, without an answer."""
         self._note_own(request, life, now)
         self.refused(life, now)
 
-    def refused(self, life: Life, now: float) -> None:
+    def refused(self, life: Incarnation, now: float) -> None:
         """Take that a target has ended: requests taken back a moment ago may have ended it."""
         for request in self._taken_back.take(life, now):
             self._note_own(request, life, now)
 
-    def taken_back(self, request: bytes, life: Life, now: float) -> None:
+    def taken_back(self, request: bytes, life: Incarnation, now: float) -> None:
         """Take that a request was taken back from a target, which may run it all the same."""
         self._taken_back.add(request, life, now)
 
@@ -160,7 +160,7 @@
         """Return when `tick` is next needed (monotonic seconds)."""
         return 0.0 if self._commands else self._due_at
 
-    def _note_own(self, request: bytes, life: Life, now: float) -> None:
+    def _note_own(self, request: bytes, life: Incarnation, now: float) -> None:
         """Count the end of a target at this box against a request, and report it soon."""
         evidence = self._add(request, [life], now)
         if evidence is None:
@@ -171,7 +171,7 @@
             evidence.report_at = now
         self._due_at = min(self._due_at, evidence.due_at)
 
-    def _add(self, request: bytes, lives: Iterable[Life], now: float) -> Evidence | None:
+    def _add(self, request: bytes, lives: Iterable[Incarnation], now: float) -> Evidence | None:
         """Count ends of targets against a request; return nothing where none of them counts."""
         if self._answered.lately(request, now):
             return None
@@ -257,7 +257,7 @@
             row = HeldRequest(request, (until - now) * MILLISECONDS)
             self._commands.append(TellAll(RequestsHeld([row])))
 
-    def _explain(self, lives: Set[Life], cause: bytes, now: float) -> None:
+    def _explain(self, lives: Set[Incarnation], cause: bytes, now: float) -> None:
         """Count ends of targets no more; requests that had many of them go to one target first."""
         self._cause_by_life.update(dict.fromkeys(lives, cause))
         for request, evidence in list(self._evidence_by_request.items()):
--- a/trackwheel/relay/board.py
+++ b/trackwheel/relay/board.py
@@ -14,7 +14,7 @@
     JITTER,
     OTHER_DOMAIN_COST_AIMS,
 )
-from trackwheel.relay.models import Life, Load, Outcome, Place, RouteKey, Target
+from trackwheel.relay.models import Incarnation, Load, Outcome, Place, RouteKey, Target
 from trackwheel.relay.record import InFlightRequest, TargetRecord
 from trackwheel.relay.response_times import ResponseTimes
 
@@ -58,7 +58,7 @@
         self._place = place
         self._random = Random(seed)
         self._cold = cold
-        self._record_by_life: dict[Life, TargetRecord] = {}
+        self._record_by_life: dict[Incarnation, TargetRecord] = {}
         """What was believed of a target's earlier life ends with that."""
         self._response_times = ResponseTimes()
         self._targets_by_service: dict[str, tuple[Target, ...]] = {}
@@ -67,7 +67,7 @@
         """Take the directory of targets; records of targets that are gone are dropped."""
         before = self._targets_by_service
         self._targets_by_service = targets_by_service
-        known = {target.life for target in self._all_targets()}
+        known = {target.incarnation for target in self._all_targets()}
         self._record_by_life = {
             life: record
             for life, record in self._record_by_life.items()
@@ -143,12 +143,12 @@
             return None
         return TargetBelief.OUT_OF_USE if record.is_ejected else TargetBelief.IN_USE
 
-    def told_down(self, life: Life, failed_at: float, until: float) -> bool:
+    def told_down(self, life: Incarnation, failed_at: float, until: float) -> bool:
         """Take that another box could not connect to a target; return whether that is news.
 
         An answer that came here since then says more.
         """
-        target = next((t for t in self._all_targets() if t.life == life), None)
+        target = next((t for t in self._all_targets() if t.incarnation == life), None)
         if target is None:
             return False
         record = self._record(target)
@@ -253,9 +253,9 @@
         Their word on that comes with their next heartbeat; until then they would get the usual
         work, many times what a cold one bears.
         """
-        barred = {target.life for target in before if target.barred}
+        barred = {target.incarnation for target in before if target.barred}
         for target in self._all_targets():
-            if target.life in barred and not target.barred:
+            if target.incarnation in barred and not target.barred:
                 lasts_s = self._cold.service(target.service).lasts_s if self._cold else 0.0
                 record = self._record(target)
                 record.cold_until = max(record.cold_until, now + lasts_s)
@@ -318,7 +318,7 @@
         return self.usual_s(route, self.is_far(target))
 
     def _record(self, target: Target) -> TargetRecord:
-        record = self._record_by_life.get(target.life)
+        record = self._record_by_life.get(target.incarnation)
         if record is None:
-            record = self._record_by_life[target.life] = TargetRecord()
+            record = self._record_by_life[target.incarnation] = TargetRecord()
         return record
--- a/trackwheel/relay/cold.py
+++ b/trackwheel/relay/cold.py
@@ -12,7 +12,7 @@
 from typing import Final, NamedTuple
 
 from trackwheel.relay.askers import Askers
-from trackwheel.relay.models import Life, Target
+from trackwheel.relay.models import Incarnation, Target
 
 COLD_WINDOW_S: Final = 1.0
 """The span in which the requests to a cold target are counted, as its bound is given."""
@@ -50,7 +50,7 @@
         self._askers = askers
         self._service_by_name: Mapping[str, ColdService] = {}
         self._shards: frozenset[str] = frozenset()
-        self._sent_at_by_life: dict[Life, deque[float]] = {}
+        self._sent_at_by_life: dict[Incarnation, deque[float]] = {}
 
     def set_services(
         self, service_by_name: Mapping[str, ColdService], shards: frozenset[str]
@@ -90,7 +90,7 @@
         if self.service(target.service).per_s > 0.0:
             self._recent(target, now).append(now)
 
-    def keep_only(self, lives: set[Life]) -> None:
+    def keep_only(self, lives: set[Incarnation]) -> None:
         """Drop what is known of targets that are gone."""
         self._sent_at_by_life = {
             life: sent for life, sent in self._sent_at_by_life.items() if life in lives
@@ -98,7 +98,7 @@
 
     def _recent(self, target: Target, now: float) -> deque[float]:
         """Return when requests went to a target within the window before now."""
-        sent = self._sent_at_by_life.setdefault(target.life, deque())
+        sent = self._sent_at_by_life.setdefault(target.incarnation, deque())
         while sent and sent[0] <= now - COLD_WINDOW_S:
             sent.popleft()
         return sent
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -342,13 +342,13 @@
             self._answer("whole")
         elif self.plan.partial:
             if now >= self.plan.end_at or not pending:
-                self._answer("time is up" if pending else "nothing more can come")
+                self._answer("time is up" if pending else "no more shards expected")
         elif shut:
             self._fail(CRASHES_TARGETS, False)
         elif self._cannot_succeed():
             self._fail("too few shards can answer", False)
         elif self._is_coverage_reached() and (now >= self.plan.answer_at or not pending):
-            self._answer("aim" if pending else "nothing more can come")
+            self._answer("aim" if pending else "no more shards expected")
         elif now >= self.plan.end_at:
             self._fail("time is up", True)
 
--- a/trackwheel/relay/models.py
+++ b/trackwheel/relay/models.py
@@ -29,7 +29,7 @@
         return not self.homes or region in self.homes
 
 
-Life = tuple[str, int]
+Incarnation = tuple[str, int]
 """One incarnation of a target: its name and start time (Unix milliseconds)."""
 
 
@@ -51,7 +51,7 @@
     born_ms: int = 0
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> Incarnation:
         """Return the identity that differs between restarts under the same name."""
         return self.instance, self.born_ms
 
--- a/trackwheel/relay/news.py
+++ b/trackwheel/relay/news.py
@@ -4,7 +4,7 @@
 
 from trackwheel.relay.board import Board
 from trackwheel.relay.const import NEWS_AGAIN_S, NEWS_DISTRUST_S, TOLD_DOWN_S
-from trackwheel.relay.models import Life, Outcome, Target
+from trackwheel.relay.models import Incarnation, Outcome, Target
 from trackwheel.units import MILLISECONDS
 
 
@@ -19,7 +19,7 @@
     born_ms: int = 0
 
     @property
-    def life(self) -> Life:
+    def life(self) -> Incarnation:
         """Return which target, and which start of it, this is about."""
         return self.instance, self.born_ms
 
@@ -47,8 +47,8 @@
 
     def __init__(self, board: Board) -> None:
         self._board = board
-        self._told_at_by_life: dict[Life, float] = {}
-        self._teller_by_life: dict[Life, _Teller] = {}
+        self._told_at_by_life: dict[Incarnation, float] = {}
+        self._teller_by_life: dict[Incarnation, _Teller] = {}
         self._distrusted_until_by_box: dict[str, float] = {}
         self._next_clean_up = 0.0
 
@@ -57,15 +57,15 @@
     ) -> TargetDown | None:
         """Take how a request of this box ended; return what to tell the others, if anything."""
         if outcome is Outcome.OK:
-            self._contradict(target.life, sent_at)
+            self._contradict(target.incarnation, sent_at)
             return None
         if outcome is not Outcome.NOT_SENT:
             return None
-        self._teller_by_life.pop(target.life, None)
-        if now - self._told_at_by_life.get(target.life, float("-inf")) < NEWS_AGAIN_S:
+        self._teller_by_life.pop(target.incarnation, None)
+        if now - self._told_at_by_life.get(target.incarnation, float("-inf")) < NEWS_AGAIN_S:
             return None
         self._forget(now)
-        self._told_at_by_life[target.life] = now
+        self._told_at_by_life[target.incarnation] = now
         return TargetDown(target.instance, 0.0, target.born_ms)
 
     def told(self, box: str, news: TargetDown, now: float) -> bool:
@@ -81,7 +81,7 @@
         self._teller_by_life[news.life] = _Teller(box, failed_at, until)
         return True
 
-    def _contradict(self, life: Life, sent_at: float) -> None:
+    def _contradict(self, life: Incarnation, sent_at: float) -> None:
         """Doubt the box that called a target down which answers a request sent after that."""
         teller = self._teller_by_life.get(life)
         if teller is None or not teller.failed_at <= sent_at < teller.until:
--- a/trackwheel/relay/outcomes.py
+++ b/trackwheel/relay/outcomes.py
@@ -14,12 +14,12 @@
                 # Only a success clears a request: a failing target may not have started it.
                 quarantine.answered(sending.request.fingerprint)
             case Outcome.CLOSED:
-                quarantine.closed(sending.request.fingerprint, sending.target.life)
+                quarantine.closed(sending.request.fingerprint, sending.target.incarnation)
             case Outcome.NOT_SENT:
-                quarantine.refused(sending.target.life)
+                quarantine.refused(sending.target.incarnation)
 
     def taken_back(fingerprint: bytes, target: Target) -> None:
-        quarantine.taken_back(fingerprint, target.life)
+        quarantine.taken_back(fingerprint, target.incarnation)
 
     transport.on_any_end(ended)
     transport.on_taken_back(taken_back)
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -9,7 +9,7 @@
 from trackwheel.relay.board import Board, TargetBelief
 from trackwheel.relay.models import (
     CallerRequest,
-    Life,
+    Incarnation,
     Outcome,
     RouteKey,
     Target,
@@ -71,7 +71,7 @@
         self._board = board
         self._clock = clock
         self._log = log
-        self._pool_by_life: dict[Life, TargetPool] = {}
+        self._pool_by_life: dict[Incarnation, TargetPool] = {}
         self._limit_by_service: dict[str, int] = {}
         self._members = 1
         self.sent_by_reason: Counter[tuple[str, str]] = Counter()
@@ -92,7 +92,7 @@
         self._limit_by_service = connections_by_service
         self._members = max(1, members)
 
-    def keep_only(self, lives: set[Life]) -> None:
+    def keep_only(self, lives: set[Incarnation]) -> None:
         """Close the idle connections of targets that are gone."""
         for life in [known for known in self._pool_by_life if known not in lives]:
             pool = self._pool_by_life[life]
@@ -100,7 +100,7 @@
             if pool.unused:
                 del self._pool_by_life[life]
 
-    def bar(self, lives: set[Life]) -> None:
+    def bar(self, lives: set[Incarnation]) -> None:
         """Send nothing more that waits for a connection to targets that get no new work."""
         for life in lives & self._pool_by_life.keys():
             self._pool_by_life[life].refuse_waiting()
@@ -137,7 +137,7 @@
     def withdraw(self, token: object, target: Target, fingerprint: bytes) -> None:
         """Take a request back."""
         self._board.withdrawn(target, token, self._clock())
-        pool = self._pool_by_life.get(target.life)
+        pool = self._pool_by_life.get(target.incarnation)
         if pool is not None and pool.cancel(token):
             for handler in self._on_taken_back:
                 handler(fingerprint, target)
@@ -183,10 +183,10 @@
         return TargetResult(_OUTCOME_BY_KIND[end.kind], None, b"", None, end.detail)
 
     def _pool(self, target: Target) -> TargetPool:
-        pool = self._pool_by_life.get(target.life)
+        pool = self._pool_by_life.get(target.incarnation)
         if pool is None:
             host, port = split_address(target.address)
-            pool = self._pool_by_life[target.life] = TargetPool(host, port, 0)
+            pool = self._pool_by_life[target.incarnation] = TargetPool(host, port, 0)
         allowed = self._limit_by_service.get(target.service, DEFAULT_CONNECTIONS * self._members)
         pool.limit = max(LEAST_CONNECTIONS, int(allowed * CONNECTION_SHARE / self._members))
         return pool
