--- a/tests/relay/test_crashing_query.py
+++ b/tests/relay/test_crashing_query.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.relay.conftest import ROUTE, THERE, end
-from tests.relay.test_gather import ANSWER_AT, GROUP, SHARDS, Elsewhere, Session
+from tests.relay.test_gather import ANSWER_AT, GROUP, SHARDS, Session, SinglePeerRegrouper
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RepeatBudget
 from trackwheel.relay.gather import CRASHES_TARGETS
@@ -74,8 +74,8 @@
 def test_peer_under_which_targets_ended_makes_the_query_wait(
     board: Board, budget: RepeatBudget
 ) -> None:
-    elsewhere = Elsewhere()
-    session = Session(board, budget, groups=(GROUP,), elsewhere=elsewhere)
+    regrouper = SinglePeerRegrouper()
+    session = Session(board, budget, groups=(GROUP,), regrouper=regrouper)
     session.take(session.gather.group_parts(0, {}, [], False, True, 0.05, closed=3))
     assert len(session.groups) == 1
     session.answer("s5", 0.06)
@@ -102,8 +102,8 @@
 
 def test_suspect_is_asked_nowhere_until_it_is_cleared(board: Board, budget: RepeatBudget) -> None:
     gate = Gate()
-    elsewhere = Elsewhere()
-    session = Session(board, budget, gate=gate, elsewhere=elsewhere)
+    regrouper = SinglePeerRegrouper()
+    session = Session(board, budget, gate=gate, regrouper=regrouper)
     gate.now = SendPermission.WAIT
     session.answer("s1")
     session.fail("s0", Outcome.CLOSED)
--- a/tests/relay/test_gather.py
+++ b/tests/relay/test_gather.py
@@ -32,7 +32,7 @@
 GROUP = GroupPlan("peer:1", HERE, ("s0", "s1", "s2"), 0.06, 0.08)
 
 
-class Elsewhere:
+class SinglePeerRegrouper:
     """Delegate all shards to one peer and record which targets were tried before."""
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         max_attempts: int = 2,
         partial: bool = False,
         repeat: bool = False,
-        elsewhere: Regrouper | None = None,
+        regrouper: Regrouper | None = None,
         gate: SendGate = OPEN_GATE,
     ) -> None:
         plan = GatherPlan(
@@ -80,7 +80,7 @@
             repeat,
             gate,
         )
-        self.gather = Gather(plan, board, budget, elsewhere)
+        self.gather = Gather(plan, board, budget, regrouper)
         self.open: dict[int, SendPart] = {}
         self.sent: list[SendPart] = []
         self.groups: list[SendGroup] = []
@@ -534,15 +534,15 @@
     def test_what_a_report_lacks_goes_in_one_group(
         self, board: Board, budget: RepeatBudget
     ) -> None:
-        elsewhere = Elsewhere()
-        session = Session(board, budget, groups=(GROUP,), elsewhere=elsewhere)
+        regrouper = SinglePeerRegrouper()
+        session = Session(board, budget, groups=(GROUP,), regrouper=regrouper)
         session.parts(["s0"], final=False)
         assert session.groups[-1].group[:3] == ("other:1", THERE, ("s1", "s2"))
-        assert elsewhere.tried_by_shard == {"s1": {"s1-near"}, "s2": {"s2-near"}}
+        assert regrouper.tried_by_shard == {"s1": {"s1-near"}, "s2": {"s2-near"}}
         assert {sent.shard for sent in session.sent} == set(SHARDS[3:])
 
     def test_late_direct_shards_go_in_one_group(self, board: Board, budget: RepeatBudget) -> None:
-        session = Session(board, budget, elsewhere=Elsewhere())
+        session = Session(board, budget, regrouper=SinglePeerRegrouper())
         for shard in SHARDS[4:]:
             session.answer(shard)
         session.tick(session.gather.next_wake())
@@ -552,7 +552,9 @@
     def test_no_shard_is_asked_more_often_than_allowed(
         self, board: Board, budget: RepeatBudget
     ) -> None:
-        session = Session(board, budget, least=1.0, groups=(GROUP,), elsewhere=Elsewhere())
+        session = Session(
+            board, budget, least=1.0, groups=(GROUP,), regrouper=SinglePeerRegrouper()
+        )
         for shard in SHARDS[3:]:
             session.answer(shard)
         session.parts(["s0"], final=False)
@@ -568,7 +570,7 @@
         self, board: Board, budget: RepeatBudget, first: int
     ) -> None:
         """The merged records contain the shard's, so that its single part is dropped."""
-        session = Session(board, budget, groups=(GROUP,), elsewhere=Elsewhere())
+        session = Session(board, budget, groups=(GROUP,), regrouper=SinglePeerRegrouper())
         session.parts([], final=False)
         for number in (first, 1 - first):
             session.parts(["s0", "s1"] if number == 0 else ["s0"], False, number=number)
@@ -581,14 +583,14 @@
         self, board: Board, budget: RepeatBudget, lost: bool
     ) -> None:
         """The lost peer may not have asked its targets, so that they may be asked again."""
-        elsewhere = Elsewhere()
-        session = Session(board, budget, groups=(GROUP,), elsewhere=elsewhere)
+        regrouper = SinglePeerRegrouper()
+        session = Session(board, budget, groups=(GROUP,), regrouper=regrouper)
         if lost:
             session.take(session.gather.group_lost(0, 0.01))
         else:
             session.tick(GROUP.accept_by)
         assert session.groups[-1].group.shards == GROUP.shards
-        assert elsewhere.tried_by_shard == dict.fromkeys(GROUP.shards, frozenset())
+        assert regrouper.tried_by_shard == dict.fromkeys(GROUP.shards, frozenset())
 
     def test_second_peer_asks_beside_itself_and_pays(
         self, board: Board, budget: RepeatBudget, no_budget: RepeatBudget
@@ -662,7 +664,7 @@
         was delegated to a peer without budget for it.
         """
         exhausted = RepeatBudget(BudgetRule(0.2, 10.0, 0.0), OLD)
-        session = Session(board, exhausted, least=1.0, elsewhere=Elsewhere())
+        session = Session(board, exhausted, least=1.0, regrouper=SinglePeerRegrouper())
         session.fail("s0", Outcome.FAILED)
         for number in range(1, 10):
             session.answer(f"s{number}")
@@ -685,12 +687,12 @@
     def test_declined_shards_go_elsewhere_and_are_no_repeats(
         self, board: Board, no_budget: RepeatBudget
     ) -> None:
-        elsewhere = Elsewhere()
-        session = Session(board, no_budget, groups=(GROUP,), elsewhere=elsewhere)
+        regrouper = SinglePeerRegrouper()
+        session = Session(board, no_budget, groups=(GROUP,), regrouper=regrouper)
         session.take(session.gather.group_declined(0, ["s1"], 0.01))
         assert session.groups[-1].group[:3] == ("other:1", THERE, ("s1",))
         assert not session.groups[-1].group.repeat
-        assert elsewhere.tried_by_shard == {"s1": {"s1-near"}}
+        assert regrouper.tried_by_shard == {"s1": {"s1-near"}}
 
     def test_shard_that_all_decline_is_asked_directly(
         self, board: Board, no_budget: RepeatBudget
@@ -702,7 +704,7 @@
     def test_declined_shard_is_not_asked_again_for_the_peers_report(
         self, board: Board, budget: RepeatBudget
     ) -> None:
-        session = Session(board, budget, groups=(GROUP,), elsewhere=Elsewhere())
+        session = Session(board, budget, groups=(GROUP,), regrouper=SinglePeerRegrouper())
         session.take(session.gather.group_declined(0, ["s1"], 0.01))
         session.parts(["s0"], final=True)
         assert [command.group.shards for command in session.groups[1:]] == [("s1",), ("s2",)]
@@ -711,7 +713,7 @@
         self, board: Board, budget: RepeatBudget
     ) -> None:
         make_slow(board, "s0-near")
-        session = Session(board, budget, elsewhere=Elsewhere())
+        session = Session(board, budget, regrouper=SinglePeerRegrouper())
         assert [command.group.shards for command in session.groups] == [("s0",)]
         assert {sent.shard for sent in session.sent} == set(SHARDS[1:])
 
@@ -722,7 +724,7 @@
     planner = GroupPlanner(HERE, "own:1", board, PeerBoard())
     planner.set_peers((PeerBox("there:1", THERE),), True)
     make_slow(board, "s0-near")
-    session = Session(board, budget, elsewhere=planner)
+    session = Session(board, budget, regrouper=planner)
     assert [command.group[:3] for command in session.groups] == [("there:1", THERE, ("s0",))]
     assert {sent.shard for sent in session.sent} == set(SHARDS[1:])
 
@@ -730,7 +732,7 @@
 def test_late_shards_are_asked_for_records_that_can_count(
     board: Board, budget: RepeatBudget
 ) -> None:
-    session = Session(board, budget, groups=(GROUP,), elsewhere=Elsewhere())
+    session = Session(board, budget, groups=(GROUP,), regrouper=SinglePeerRegrouper())
     for shard in SHARDS[3:]:
         session.answer(shard)
     session.parts(["s0"], final=False)
--- a/trackwheel/relay/attempts.py
+++ b/trackwheel/relay/attempts.py
@@ -56,7 +56,7 @@
         self._own_domain_only = repeat
         self._tried: set[str] = set()
         self._not_run_at: set[str] = set()
-        self._delegated_repeats: set[str] = set()
+        self._delegated_targets: set[str] = set()
         self._first_counted = repeat
         self._sends = 0
         self._runs = 0
@@ -97,7 +97,7 @@
 
     def delegate_repeat(self, targets: set[str]) -> None:
         """Delegate one repeat to a peer, which will use one of the given targets."""
-        self._delegated_repeats |= targets - self._tried
+        self._delegated_targets |= targets - self._tried
         self._tried |= targets
         self._runs += 1
         self._deliveries += 1
@@ -107,10 +107,10 @@
         self._runs -= 1
         self._deliveries -= 1
 
-    def release_delegated_repeats(self) -> None:
-        """Allow the targets of delegated repeats again: the peers have asked none of them."""
-        self._tried -= self._delegated_repeats
-        self._delegated_repeats.clear()
+    def release_delegated_targets(self) -> None:
+        """Allow the targets of delegated repeats again: no peer has asked one of them."""
+        self._tried -= self._delegated_targets
+        self._delegated_targets.clear()
 
     def exclude(self, targets: set[str]) -> None:
         """Exclude targets from the choice, as if they had been tried."""
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -201,7 +201,7 @@
         if not repeat:
             shard.attempts.clear_tried()
         elif not shard.groups:
-            shard.attempts.release_delegated_repeats()
+            shard.attempts.release_delegated_targets()
         self._ask(name, DECLINED, now)
 
     def group_lost(self, number: int, now: float) -> list[GatherCommand]:
--- a/trackwheel/relay/runs.py
+++ b/trackwheel/relay/runs.py
@@ -31,7 +31,7 @@
 
 
 class GatherTask(NamedTuple):
-    """A client's query and its decision logic."""
+    """A query and its decision logic."""
 
     request: CallerRequest
     gather: Gather
