--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -684,7 +684,7 @@
         PLATFORM,
         NOT_RUN,
         "a peer is lost before it told whether targets ran its shards",
-        SHARDS + "test_failure_tells_truly_whether_a_peer_ran_it",
+        SHARDS + "test_failure_reports_whether_a_peer_may_have_run_it",
         Mutant("trackwheel/relay/gather.py", "        self._peers_ran = True\n", ""),
     ),
     Row(
@@ -738,7 +738,7 @@
         PLATFORM,
         COVERAGE,
         "shards that stay silent, at the aim and after it",
-        SHARDS + "test_answer_at_the_aim_names_what_it_lacks",
+        SHARDS + "test_answer_at_the_target_latency_lists_missing_shards",
     ),
     Row(
         PLATFORM,
@@ -750,7 +750,7 @@
         PLATFORM,
         COVERAGE,
         "a peer that does not accept, or accepts and falls silent",
-        SHARDS + "test_silent_peer_is_gone_around",
+        SHARDS + "test_shards_of_a_silent_peer_are_requested_elsewhere",
         Mutant(
             "trackwheel/relay/delegated.py",
             "if group.check_at <= now]",
@@ -784,7 +784,7 @@
         PLATFORM,
         NOT_RUN,
         "every target sheds, is elsewhere or cannot be reached",
-        SINGLE + "test_refusal_says_truly_that_nothing_ran",
+        SINGLE + "test_failure_reports_that_nothing_ran",
         Mutant(
             "trackwheel/relay/single.py",
             "ran = self._attempts.ran or bool(self._attempts.target_by_token)",
@@ -815,7 +815,7 @@
         PLATFORM,
         AT_ONCE,
         "so many shards failed that the least coverage cannot be reached",
-        SHARDS + "test_hopeless_query_is_given_up_at_once",
+        SHARDS + "test_query_that_cannot_succeed_fails_at_once",
         Mutant("trackwheel/relay/gather.py", "elif self._cannot_succeed():", "elif False:"),
     ),
     Row(
@@ -866,7 +866,7 @@
         PLATFORM,
         BUDGET,
         "a peer and this box ask for the same shard",
-        SHARDS + "test_peer_and_this_box_keep_to_the_attempts_together",
+        SHARDS + "test_peer_and_this_box_share_the_attempt_limit",
         Mutant(
             "trackwheel/relay/gather_models.py",
             "return max(1, self.max_attempts - 1)",
@@ -962,7 +962,7 @@
         PLATFORM,
         AT_ONCE,
         "a peer that may not pay for a repeat gives it back",
-        SHARDS + "test_shard_that_peers_give_back_is_not_lost",
+        SHARDS + "test_shard_that_peers_decline_is_retried",
         Mutant(
             "trackwheel/relay/gather.py",
             "self._shards[name].attempts.undo_repeat()",
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -27,7 +27,7 @@
     return Target(name, service, "127.0.0.1:1", place, 2, leaving, doubtful, 0.0)
 
 
-def end(outcome: Outcome, load: Load | None = None) -> TargetResult:
+def target_result(outcome: Outcome, load: Load | None = None) -> TargetResult:
     answer = Response(500, (), b"") if outcome is Outcome.FAILED else None
     if outcome is Outcome.OK:
         answer = Response(200, (), b"body")
--- a/tests/relay/test_crashing_query.py
+++ b/tests/relay/test_crashing_query.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.relay.conftest import ROUTE, THERE, end
+from tests.relay.conftest import ROUTE, THERE, target_result
 from tests.relay.test_gather import ANSWER_AT, GROUP, SHARDS, Session, SinglePeerRegrouper
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RepeatBudget
@@ -132,5 +132,5 @@
     single = Single(SinglePlan(ROUTE, "s0", True, 3, 0.18, 1.0, gate), board, budget)
     single.start(0.0)
     gate.now = permission
-    commands = single.target_ended(0, end(Outcome.CLOSED), 0.02)
+    commands = single.target_ended(0, target_result(Outcome.CLOSED), 0.02)
     assert (commands == [SingleFailed(True, False, "closed")]) is (sends == 1)
--- a/tests/relay/test_gather.py
+++ b/tests/relay/test_gather.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.relay.conftest import HERE, OLD, ROUTE, THERE, end
+from tests.relay.conftest import HERE, OLD, ROUTE, THERE, target_result
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import BudgetRule, RepeatBudget
 from trackwheel.relay.const import MAX_SENDS
@@ -108,12 +108,12 @@
         token = self.token(shard, where)
         del self.open[token]
         part = Part(f"sig-{shard}".encode(), [shard.encode().ljust(16)])
-        self.take(self.gather.part_ended(token, end(Outcome.OK), part, now))
+        self.take(self.gather.part_ended(token, target_result(Outcome.OK), part, now))
 
     def fail(self, shard: str, outcome: Outcome, now: float = 0.02) -> None:
         token = self.token(shard, "")
         del self.open[token]
-        self.take(self.gather.part_ended(token, end(outcome), None, now))
+        self.take(self.gather.part_ended(token, target_result(outcome), None, now))
 
     def token(self, shard: str, where: str) -> int:
         return next(
@@ -172,7 +172,9 @@
     assert not session.open
 
 
-def test_answer_at_the_aim_names_what_it_lacks(board: Board, budget: RepeatBudget) -> None:
+def test_answer_at_the_target_latency_lists_missing_shards(
+    board: Board, budget: RepeatBudget
+) -> None:
     session = Session(board, budget, max_attempts=1)
     for shard in SHARDS[2:]:
         session.answer(shard)
@@ -182,7 +184,9 @@
     assert not session.open
 
 
-def test_after_the_aim_the_least_coverage_is_enough(board: Board, budget: RepeatBudget) -> None:
+def test_least_coverage_suffices_after_the_target_latency(
+    board: Board, budget: RepeatBudget
+) -> None:
     session = Session(board, budget, max_attempts=1)
     for shard in SHARDS[3:]:
         session.answer(shard)
@@ -213,7 +217,7 @@
         pytest.param(Outcome.BROKEN, True, id="broken"),
     ],
 )
-def test_hopeless_query_is_given_up_at_once(
+def test_query_that_cannot_succeed_fails_at_once(
     board: Board, no_budget: RepeatBudget, outcome: Outcome, ran: bool
 ) -> None:
     """A failure reports that nothing ran only if no target can have run a shard."""
@@ -418,7 +422,7 @@
         assert session.end.missing == 0
         assert session.end.signature_by_shard["s0"] == b"peer0-s0"
 
-    def test_peer_and_this_box_keep_to_the_attempts_together(
+    def test_peer_and_this_box_share_the_attempt_limit(
         self, board: Board, budget: RepeatBudget
     ) -> None:
         """Of two attempts the peer gets one; the other goes to a target elsewhere, once."""
@@ -430,7 +434,7 @@
         asked = [sent.target.instance for sent in session.sent if sent.shard == "s2"]
         assert asked == ["s2-far"]
 
-    def test_single_attempt_is_the_peers(self, board: Board, budget: RepeatBudget) -> None:
+    def test_single_attempt_is_left_to_the_peer(self, board: Board, budget: RepeatBudget) -> None:
         session = Session(board, budget, groups=(GROUP,), max_attempts=1)
         session.parts(["s0", "s1"], final=True)
         assert not [sent for sent in session.sent if sent.shard == "s2"]
@@ -443,7 +447,7 @@
         assert (session.sent[-1].shard, session.sent[-1].reason) == ("s2", "lacking")
 
     @pytest.mark.parametrize("accepted", [False, True], ids=["not-accepted", "accepted-then-mute"])
-    def test_silent_peer_is_gone_around(
+    def test_shards_of_a_silent_peer_are_requested_elsewhere(
         self, board: Board, budget: RepeatBudget, accepted: bool
     ) -> None:
         session = Session(board, budget, groups=(GROUP,))
@@ -456,7 +460,9 @@
         asked = [sent.shard for sent in session.sent if sent.shard in GROUP.shards]
         assert asked == ["s0", "s1", "s2"]
 
-    def test_lost_peer_is_gone_around(self, board: Board, budget: RepeatBudget) -> None:
+    def test_shards_of_a_lost_peer_are_requested_elsewhere(
+        self, board: Board, budget: RepeatBudget
+    ) -> None:
         session = Session(board, budget, groups=(GROUP,))
         session.take(session.gather.group_lost(0, 0.01))
         assert [sent.shard for sent in session.sent[-3:]] == ["s0", "s1", "s2"]
@@ -610,7 +616,7 @@
         pytest.param("lost", True, id="lost-peer-told-nothing"),
     ],
 )
-def test_failure_tells_truly_whether_a_peer_ran_it(
+def test_failure_reports_whether_a_peer_may_have_run_it(
     board: Board, no_budget: RepeatBudget, events: str, ran: bool
 ) -> None:
     group = GroupPlan("peer:1", HERE, SHARDS, 0.06, 0.08)
@@ -657,7 +663,7 @@
         session = Session(board, no_budget, least=0.0, partial=True, repeat=True)
         assert session.other == [Declined(SHARDS)]
 
-    def test_shard_that_peers_give_back_is_not_lost(self, board: Board) -> None:
+    def test_shard_that_peers_decline_is_retried(self, board: Board) -> None:
         """The retry budget of some boxes is exhausted while others have theirs left.
 
         Guards against queries that failed with most of their time left because their last attempt
--- a/tests/relay/test_merge.py
+++ b/tests/relay/test_merge.py
@@ -18,7 +18,7 @@
         pytest.param(b"x" * 47, 2, id="two-and-a-rest"),
     ],
 )
-def test_a_rest_is_no_record(body: bytes, count: int) -> None:
+def test_truncated_last_record_is_dropped(body: bytes, count: int) -> None:
     assert len(split_records(body)) == count
 
 
--- a/tests/relay/test_single.py
+++ b/tests/relay/test_single.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.relay.conftest import ROUTE, end
+from tests.relay.conftest import ROUTE, target_result
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RepeatBudget
 from trackwheel.relay.models import Outcome
@@ -45,7 +45,7 @@
                     self.end = command
 
     def ended(self, token: int, outcome: Outcome, now: float = 0.02) -> None:
-        self.take(self.single.target_ended(token, end(outcome), now))
+        self.take(self.single.target_ended(token, target_result(outcome), now))
 
 
 @pytest.mark.parametrize("repeatable", [True, False], ids=["repeatable", "once"])
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("outcome", NOT_RUN)
-def test_refusal_says_truly_that_nothing_ran(
+def test_failure_reports_that_nothing_ran(
     board: Board, no_budget: RepeatBudget, outcome: Outcome
 ) -> None:
     session = Session(board, no_budget, False)
@@ -125,7 +125,7 @@
     session = Session(board, budget, True)
     session.take(session.single.cancel())
     assert session.cancelled == [0]
-    assert session.single.target_ended(0, end(Outcome.OK), 0.2) == []
+    assert session.single.target_ended(0, target_result(Outcome.OK), 0.2) == []
 
 
 @pytest.mark.parametrize("repeatable", [True, False], ids=["repeatable", "once"])
