--- a/tests/relay/test_crashing_query.py
+++ b/tests/relay/test_crashing_query.py
@@ -1,28 +1,28 @@
-"""A query under which targets end: what it still asks, and how it is given up.
+"""A query that crashes its targets: which targets it still asks, and how it fails.
 
-In an incident the second target of each shard was asked as soon as the first one had ended under
-the query, so that one query ended all forty targets of its service and not twenty.
+Guards against asking the second target of each shard as soon as the first one has crashed: in an
+incident one query crashed all forty targets of its service instead of twenty.
 """
 
 import pytest
 
-from tests.relay.conftest import ROUTE, THERE, end
-from tests.relay.test_gather import ANSWER_AT, GROUP, SHARDS, Elsewhere, Session
+from tests.relay.conftest import ROUTE, THERE, target_result
+from tests.relay.test_gather import ANSWER_AT, GROUP, SHARDS, Session, SinglePeerRegrouper
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RepeatBudget
-from trackwheel.relay.gather import ENDS_TARGETS
+from trackwheel.relay.gather import CRASHES_TARGETS
 from trackwheel.relay.gather_models import Gathered, GatherFailed
-from trackwheel.relay.models import Outcome, Passage
+from trackwheel.relay.models import Outcome, SendPermission
 from trackwheel.relay.single import Single, SingleFailed, SinglePlan
 
 
 class Gate:
-    """Let a request pass or not, as a test says."""
+    """A gate whose answer the test sets."""
 
     def __init__(self) -> None:
-        self.now = Passage.OPEN
+        self.now = SendPermission.OPEN
 
-    def passage(self, now: float) -> Passage:
+    def permission(self, now: float) -> SendPermission:
         return self.now
 
 
@@ -74,8 +74,8 @@
 def test_peer_under_which_targets_ended_makes_the_query_wait(
     board: Board, budget: RepeatBudget
 ) -> None:
-    elsewhere = Elsewhere()
-    session = Session(board, budget, groups=(GROUP,), elsewhere=elsewhere)
+    regrouper = SinglePeerRegrouper()
+    session = Session(board, budget, groups=(GROUP,), regrouper=regrouper)
     session.take(session.gather.group_parts(0, {}, [], False, True, 0.05, closed=3))
     assert len(session.groups) == 1
     session.answer("s5", 0.06)
@@ -88,7 +88,7 @@
 def test_held_query_ends_at_once(board: Board, budget: RepeatBudget, partial: bool) -> None:
     gate = Gate()
     session = Session(board, budget, partial=partial, gate=gate)
-    gate.now = Passage.SHUT
+    gate.now = SendPermission.SHUT
     session.fail("s0", Outcome.CLOSED)
     assert not session.open
     if partial:
@@ -96,36 +96,41 @@
         assert session.end.missing == len(SHARDS)
     else:
         assert isinstance(session.end, GatherFailed)
-        assert session.end[:3] == (True, False, ENDS_TARGETS)
+        assert session.end[:3] == (True, False, CRASHES_TARGETS)
     assert len(session.sent) == len(SHARDS)
 
 
 def test_suspect_is_asked_nowhere_until_it_is_cleared(board: Board, budget: RepeatBudget) -> None:
     gate = Gate()
-    elsewhere = Elsewhere()
-    session = Session(board, budget, gate=gate, elsewhere=elsewhere)
-    gate.now = Passage.WAIT
+    regrouper = SinglePeerRegrouper()
+    session = Session(board, budget, gate=gate, regrouper=regrouper)
+    gate.now = SendPermission.WAIT
     session.answer("s1")
     session.fail("s0", Outcome.CLOSED)
     while (at := session.gather.next_wake()) < ANSWER_AT:
         session.tick(at)
     assert len(session.sent) == len(SHARDS)
     assert not session.groups
-    gate.now = Passage.OPEN
+    gate.now = SendPermission.OPEN
     session.tick(session.gather.next_wake())
     assert session.groups
 
 
 @pytest.mark.parametrize(
-    ("passage", "sends"),
-    [(Passage.OPEN, 2), (Passage.ONE, 1), (Passage.WAIT, 1), (Passage.SHUT, 1)],
+    ("permission", "sends"),
+    [
+        (SendPermission.OPEN, 2),
+        (SendPermission.ONE, 1),
+        (SendPermission.WAIT, 1),
+        (SendPermission.SHUT, 1),
+    ],
 )
 def test_request_to_one_target_is_not_sent_again(
-    board: Board, budget: RepeatBudget, passage: Passage, sends: int
+    board: Board, budget: RepeatBudget, permission: SendPermission, sends: int
 ) -> None:
     gate = Gate()
     single = Single(SinglePlan(ROUTE, "s0", True, 3, 0.18, 1.0, gate), board, budget)
     single.start(0.0)
-    gate.now = passage
-    commands = single.target_ended(0, end(Outcome.CLOSED), 0.02)
+    gate.now = permission
+    commands = single.target_ended(0, target_result(Outcome.CLOSED), 0.02)
     assert (commands == [SingleFailed(True, False, "closed")]) is (sends == 1)
--- a/tests/relay/test_homes.py
+++ b/tests/relay/test_homes.py
@@ -14,7 +14,7 @@
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import GatherFailed, GatherPlan, SendGroup, SendPart
 from trackwheel.relay.grouping import GroupPlanner
-from trackwheel.relay.models import Outcome, Place, RouteKey, TargetEnd
+from trackwheel.relay.models import Outcome, Place, RouteKey, TargetResult
 from trackwheel.relay.peers import RELAY_MESSAGES, GroupForward, PeerBoard, PeerBox
 from trackwheel.relay.single import SendSingle, Single, SingleFailed, SinglePlan
 
@@ -79,7 +79,7 @@
     planner = make_planner(make_board())
     plan = GatherPlan(homed(homes), SHARDS, 3, (), 0.8, 2, 0.19, 1.0, False)
     tried = {shard: frozenset({f"{shard}@here-a"}) for shard in SHARDS}
-    groups = planner.groups_elsewhere(tried, plan, repeat, 0.1)
+    groups = planner.regroup(tried, plan, repeat, 0.1)
     assert all(group.place.region in homes for group in groups)
 
 
@@ -113,7 +113,7 @@
         assert all(group.place.region in homes for group in groups)
         commands = []
         for command in sent:
-            end = TargetEnd(outcome, None, b"", None, "")
+            end = TargetResult(outcome, None, b"", None, "")
             board.sent(command.target, command.token, route, now)
             board.ended(command.target, command.token, outcome, None, now)
             commands += gather.part_ended(command.token, end, None, now)
--- a/tests/relay/test_single.py
+++ b/tests/relay/test_single.py
@@ -1,8 +1,8 @@
-"""One request to one target: repeats, hedges, at most once, true refusals."""
+"""One request to one target: repeats, hedges, at-most-once delivery, correct failure reports."""
 
 import pytest
 
-from tests.relay.conftest import ROUTE, end
+from tests.relay.conftest import ROUTE, target_result
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RepeatBudget
 from trackwheel.relay.models import Outcome
@@ -21,7 +21,7 @@
 
 
 class Session:
-    """Drive one request and remember what it asked for."""
+    """Run one request and record its commands."""
 
     def __init__(
         self, board: Board, budget: RepeatBudget, repeatable: bool, max_attempts: int = 2
@@ -45,7 +45,7 @@
                     self.end = command
 
     def ended(self, token: int, outcome: Outcome, now: float = 0.02) -> None:
-        self.take(self.single.target_ended(token, end(outcome), now))
+        self.take(self.single.target_ended(token, target_result(outcome), now))
 
 
 @pytest.mark.parametrize("repeatable", [True, False], ids=["repeatable", "once"])
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("outcome", NOT_RUN)
-def test_refusal_says_truly_that_nothing_ran(
+def test_failure_reports_that_nothing_ran(
     board: Board, no_budget: RepeatBudget, outcome: Outcome
 ) -> None:
     session = Session(board, no_budget, False)
@@ -125,14 +125,16 @@
     session = Session(board, budget, True)
     session.take(session.single.cancel())
     assert session.cancelled == [0]
-    assert session.single.target_ended(0, end(Outcome.OK), 0.2) == []
+    assert session.single.target_ended(0, target_result(Outcome.OK), 0.2) == []
 
 
 @pytest.mark.parametrize("repeatable", [True, False], ids=["repeatable", "once"])
 def test_request_waits_for_targets_that_refuse_connections(
     board: Board, budget: RepeatBudget, repeatable: bool
 ) -> None:
-    """It was sent eight times within milliseconds and then given up, with its aim far off."""
+    """Guards against a request that was sent eight times within milliseconds and then failed,
+    long before its target latency.
+    """
     session = Session(board, budget, repeatable)
     for token, name in enumerate(["s0-near", "s0-far"]):
         target = session.sent[-1].target
--- a/trackwheel/relay/handing.py
+++ b/trackwheel/relay/handing.py
@@ -3,11 +3,11 @@
 from collections.abc import Sequence
 
 from trackwheel.relay.board import Board
-from trackwheel.relay.gather_models import GatherPlan, GroupPlan, Regrouping, SendGroup
-from trackwheel.relay.handed import HandedGroup, HandedGroups
-from trackwheel.relay.models import Passage
-from trackwheel.relay.parts import PartsIn
-from trackwheel.relay.shards import ShardBook
+from trackwheel.relay.delegated import DelegatedGroup, DelegatedGroups
+from trackwheel.relay.gather_models import GatherPlan, GroupPlan, Regrouper, SendGroup
+from trackwheel.relay.models import SendPermission
+from trackwheel.relay.parts import ReceivedParts
+from trackwheel.relay.shards import ShardTracker
 
 
 class GroupHanding:
@@ -17,33 +17,33 @@
         self,
         plan: GatherPlan,
         board: Board,
-        shards: ShardBook,
-        groups: HandedGroups,
-        parts: PartsIn,
-        regrouping: Regrouping | None,
+        shards: ShardTracker,
+        groups: DelegatedGroups,
+        parts: ReceivedParts,
+        regrouper: Regrouper | None,
     ) -> None:
         self._plan = plan
         self._board = board
         self._shards = shards
         self._groups = groups
         self._parts = parts
-        self._regrouping = regrouping
+        self._regrouper = regrouper
 
     def hand_over(self, group: GroupPlan) -> SendGroup:
         """Leave a group to a peer: a first one with all attempts but one, a repeat with one."""
-        handed = HandedGroup(group, self._spare_of(group))
+        handed = DelegatedGroup(group, self._max_missing_of(group))
         number = self._groups.add(handed)
         if not group.repeat:
             self._parts.expect_merged(group.shards)
         for name in group.shards:
             shard = self._shards[name]
             shard.groups.add(number)
-            self._shards.asked(name)
+            self._shards.mark_asked(name)
             beside = {t.instance for t in self._board.targets(name) if t.place == group.place}
             if group.repeat:
-                shard.attempts.lend(beside)
+                shard.attempts.delegate_repeat(beside)
             else:
-                shard.attempts.give_away(self._plan.peer_attempts, beside)
+                shard.attempts.delegate(self._plan.peer_attempts, beside)
         floor = self._parts.floor() if group.repeat else b""
         return SendGroup(number, group, floor, handed.least_coverage)
 
@@ -52,21 +52,21 @@
         tried_by_shard = {
             name: self._shards[name].attempts.tried
             for name in names
-            if self._shards[name].attempts.may_run
+            if self._shards[name].attempts.may_run_again
         }
-        if self._regrouping is None or not tried_by_shard or now >= self._plan.end_at:
+        if self._regrouper is None or not tried_by_shard or now >= self._plan.end_at:
             return []
-        if self._plan.gate.passage(now) is not Passage.OPEN:
+        if self._plan.gate.permission(now) is not SendPermission.OPEN:
             return []
-        groups = self._regrouping.groups_elsewhere(tried_by_shard, self._plan, repeat, now)
+        groups = self._regrouper.regroup(tried_by_shard, self._plan, repeat, now)
         return [self.hand_over(group) for group in groups]
 
     def shards_of(self, number: int) -> list[str]:
         """Return the shards that are left to a peer."""
         return self._shards.in_group(self._groups[number].plan.shards, number)
 
-    def _spare_of(self, group: GroupPlan) -> int:
+    def _max_missing_of(self, group: GroupPlan) -> int:
         """Return how many shards of a group its peer may leave out: a part of what may lack."""
         if group.repeat:
             return 0
-        return self._shards.spare * len(group.shards) // len(self._plan.shards)
+        return self._shards.max_missing * len(group.shards) // len(self._plan.shards)
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -18,12 +18,12 @@
     RETURN_MARGIN_S,
 )
 from trackwheel.relay.early import EarlyRequests
-from trackwheel.relay.gather import ENDS_TARGETS, Gather
+from trackwheel.relay.gather import CRASHES_TARGETS, Gather
 from trackwheel.relay.gather_models import Gathered, GatherFailed, GatherPlan
 from trackwheel.relay.grouping import GroupPlanner
 from trackwheel.relay.groups import PeerGroups
 from trackwheel.relay.merge import merge_records
-from trackwheel.relay.models import OPEN_GATE, CallerRequest, Passage, Place, RouteKey, Wire
+from trackwheel.relay.models import OPEN_GATE, CallerRequest, Place, RouteKey, SendPermission, Wire
 from trackwheel.relay.peers import PeerBox
 from trackwheel.relay.runs import GatherRun, GatherTask, SingleRun
 from trackwheel.relay.single import Single, SingleAnswered, SingleFailed, SinglePlan
@@ -78,7 +78,7 @@
         self._links_timer.set(steady_now() + LINKS_REST_S)
 
     def _open_links(self) -> None:
-        self._groups.open_links(self._planner.links_wanted())
+        self._groups.open_links(self._planner.wanted_links())
 
     def handle(self, request: Request, exchange: Exchange) -> None:
         """Serve one request of a client."""
@@ -118,7 +118,7 @@
             fingerprint=caller.fingerprint.hex(),
             left_s=round(waits_s, 1),
         )
-        answer = self._wire.refusal(HTTPStatus.SERVICE_UNAVAILABLE, waits_s, ENDS_TARGETS)
+        answer = self._wire.refusal(HTTPStatus.SERVICE_UNAVAILABLE, waits_s, CRASHES_TARGETS)
         exchange.respond(answer)
         return True
 
@@ -174,12 +174,15 @@
         """Send a query that may end targets to one of them, and serve it once that has answered."""
 
         def done(result: SingleAnswered | SingleFailed) -> None:
-            if self._quarantine.gate(caller.fingerprint).passage(steady_now()) is Passage.OPEN:
+            if (
+                self._quarantine.gate(caller.fingerprint).permission(steady_now())
+                is SendPermission.OPEN
+            ):
                 self._serve_query(caller, route, version, exchange)
                 return
             failed = result
             if isinstance(failed, SingleAnswered):
-                failed = SingleFailed(True, False, ENDS_TARGETS)
+                failed = SingleFailed(True, False, CRASHES_TARGETS)
             self._log_end(caller, route, version, failed)
             self._refuse(exchange, failed)
 
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -7,7 +7,15 @@
 from trackwheel.http1.models import EndKind, ExchangeEnd, Request, Response
 from trackwheel.http1.pool import Job, TargetPool
 from trackwheel.relay.board import Board, TargetBelief
-from trackwheel.relay.models import CallerRequest, Life, Outcome, RouteKey, Target, TargetEnd, Wire
+from trackwheel.relay.models import (
+    CallerRequest,
+    Incarnation,
+    Outcome,
+    RouteKey,
+    Target,
+    TargetResult,
+    Wire,
+)
 from trackwheel.settings import split_address
 from trackwheel.telemetry.events import EventLog
 from trackwheel.units import MILLISECONDS
@@ -26,7 +34,7 @@
 }
 """How a request ended without an answer."""
 
-OnTargetEnd = Callable[[TargetEnd], None]
+OnTargetResult = Callable[[TargetResult], None]
 
 OnTakenBack = Callable[[bytes, Target], None]
 """Take the fingerprint of a request that was taken back from a target."""
@@ -63,7 +71,7 @@
         self._board = board
         self._clock = clock
         self._log = log
-        self._pool_by_life: dict[Life, TargetPool] = {}
+        self._pool_by_life: dict[Incarnation, TargetPool] = {}
         self._limit_by_service: dict[str, int] = {}
         self._members = 1
         self.sent_by_reason: Counter[tuple[str, str]] = Counter()
@@ -84,7 +92,7 @@
         self._limit_by_service = connections_by_service
         self._members = max(1, members)
 
-    def keep_only(self, lives: set[Life]) -> None:
+    def keep_only(self, lives: set[Incarnation]) -> None:
         """Close the idle connections of targets that are gone."""
         for life in [known for known in self._pool_by_life if known not in lives]:
             pool = self._pool_by_life[life]
@@ -92,12 +100,12 @@
             if pool.unused:
                 del self._pool_by_life[life]
 
-    def bar(self, lives: set[Life]) -> None:
+    def bar(self, lives: set[Incarnation]) -> None:
         """Send nothing more that waits for a connection to targets that get no new work."""
         for life in lives & self._pool_by_life.keys():
             self._pool_by_life[life].refuse_waiting()
 
-    def send(self, sending: Sending, on_end: OnTargetEnd) -> None:
+    def send(self, sending: Sending, on_end: OnTargetResult) -> None:
         """Send a request; `on_end` is called once unless it is withdrawn."""
         target, request = sending.target, sending.request
         sent_at = self._clock()
@@ -129,13 +137,13 @@
     def withdraw(self, token: object, target: Target, fingerprint: bytes) -> None:
         """Take a request back."""
         self._board.withdrawn(target, token, self._clock())
-        pool = self._pool_by_life.get(target.life)
+        pool = self._pool_by_life.get(target.incarnation)
         if pool is not None and pool.cancel(token):
             for handler in self._on_taken_back:
                 handler(fingerprint, target)
 
     def _write(
-        self, sending: Sending, end: TargetEnd, belief: TargetBelief | None, sent_at: float
+        self, sending: Sending, end: TargetResult, belief: TargetBelief | None, sent_at: float
     ) -> None:
         """Write what failed at a target, and what is believed of the target from now on."""
         target = sending.target
@@ -169,16 +177,16 @@
                 after=end.outcome.value,
             )
 
-    def _read(self, end: ExchangeEnd, single: bool) -> TargetEnd:
+    def _read(self, end: ExchangeEnd, single: bool) -> TargetResult:
         if end.answer is not None:
-            return self._wire.read_end(end.answer, single)
-        return TargetEnd(_OUTCOME_BY_KIND[end.kind], None, b"", None, end.detail)
+            return self._wire.read_result(end.answer, single)
+        return TargetResult(_OUTCOME_BY_KIND[end.kind], None, b"", None, end.detail)
 
     def _pool(self, target: Target) -> TargetPool:
-        pool = self._pool_by_life.get(target.life)
+        pool = self._pool_by_life.get(target.incarnation)
         if pool is None:
             host, port = split_address(target.address)
-            pool = self._pool_by_life[target.life] = TargetPool(host, port, 0)
+            pool = self._pool_by_life[target.incarnation] = TargetPool(host, port, 0)
         allowed = self._limit_by_service.get(target.service, DEFAULT_CONNECTIONS * self._members)
         pool.limit = max(LEAST_CONNECTIONS, int(allowed * CONNECTION_SHARE / self._members))
         return pool
