--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -27,7 +27,7 @@
 )
 from trackwheel.relay.gatherers import choose_gatherers
 from trackwheel.relay.grouping import GroupPlanner
-from trackwheel.relay.models import Load, Outcome, Part, Place, RouteKey, Target, TargetEnd
+from trackwheel.relay.models import Load, Outcome, Part, Place, RouteKey, Target, TargetResult
 from trackwheel.relay.news import TargetDown, TargetNews
 from trackwheel.relay.peers import PeerBoard, PeerBox
 
@@ -193,7 +193,7 @@
         part = None
         if outcome is Outcome.OK:
             part = Part(shard.encode(), [shard.encode().ljust(16)])
-        end = TargetEnd(outcome, None, b"", None, outcome.value)
+        end = TargetResult(outcome, None, b"", None, outcome.value)
         self.perform(self.gather.part_ended(token, end, part, self.box.fleet.agenda.now))
         if part is not None:
             self.on_part()
@@ -286,7 +286,7 @@
     def _report(self, final: bool) -> None:
         if self._run is None or (self._run.gather.ended and not final):
             return
-        signatures, records = self._run.gather.parts.take_unreported()
+        signatures, records = self._run.gather.parts.pop_unreported()
         if self._command.group.repeat:
             for (name, signature), part in zip(signatures.items(), records, strict=True):
                 self._send({name: signature}, part, False)
@@ -381,7 +381,7 @@
             box.budget.set_shards(domains)
             box.told = tuple(peer.address for peer in others if peer.place == box.place)
             if open_links:
-                for address in box.planner.links_wanted():
+                for address in box.planner.wanted_links():
                     box.links.add(address)
                     self.box_by_address[address].links.add(own)
 
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -1,4 +1,4 @@
-"""Targets, boards and ends that the tests of the relay share."""
+"""Targets, boards and results shared by the relay tests."""
 
 from collections.abc import Callable
 
@@ -7,13 +7,13 @@
 from trackwheel.http1.models import Response
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import BudgetRule, RepeatBudget
-from trackwheel.relay.models import Load, Outcome, Place, RouteKey, Target, TargetEnd
+from trackwheel.relay.models import Load, Outcome, Place, RouteKey, Target, TargetResult
 
 HERE = Place("here", "here-a")
 THERE = Place("there", "there-a")
 ROUTE = RouteKey("r", 0.2)
 OLD = -100.0
-"""The birth of a box that has been there for long."""
+"""Start time of a box that has been running for long (monotonic seconds)."""
 BoardMaker = Callable[..., Board]
 
 
@@ -27,16 +27,16 @@
     return Target(name, service, "127.0.0.1:1", place, 2, leaving, doubtful, 0.0)
 
 
-def end(outcome: Outcome, load: Load | None = None) -> TargetEnd:
+def target_result(outcome: Outcome, load: Load | None = None) -> TargetResult:
     answer = Response(500, (), b"") if outcome is Outcome.FAILED else None
     if outcome is Outcome.OK:
         answer = Response(200, (), b"body")
-    return TargetEnd(outcome, answer, b"sig", load, outcome.value)
+    return TargetResult(outcome, answer, b"sig", load, outcome.value)
 
 
 @pytest.fixture
 def board() -> Board:
-    """Return a board with shards s0 to s9, each with a target here and one there."""
+    """Return a board with shards s0 to s9, each with one near and one far target."""
     board = Board(HERE, seed=1)
     board.set_targets(
         {
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 def budget() -> RepeatBudget:
-    """Return a budget that is large enough not to matter."""
+    """Return a budget that is never exhausted."""
     budget = RepeatBudget(BudgetRule(10.0, 10.0, 1000.0), OLD)
     budget.set_members(1, 0.0)
     return budget
--- a/tests/relay/test_merge.py
+++ b/tests/relay/test_merge.py
@@ -1,8 +1,8 @@
-"""The greatest records of several parts."""
+"""Merging the top records of several parts."""
 
 import pytest
 
-from trackwheel.relay.merge import greatest_records, merge_records, split_records
+from trackwheel.relay.merge import merge_records, split_records, top_records
 
 
 def record(number: int) -> bytes:
@@ -18,7 +18,7 @@
         pytest.param(b"x" * 47, 2, id="two-and-a-rest"),
     ],
 )
-def test_a_rest_is_no_record(body: bytes, count: int) -> None:
+def test_truncated_last_record_is_dropped(body: bytes, count: int) -> None:
     assert len(split_records(body)) == count
 
 
@@ -39,6 +39,6 @@
 def test_merging_in_two_steps_gives_the_same() -> None:
     bodies = [b"".join(record((7 * a + 13 * b) % 251) for b in range(9)) for a in range(6)]
     whole = merge_records([split_records(body) for body in bodies], 10)
-    first = merge_records([greatest_records(body, 10) for body in bodies[:3]], 10)
-    rest = [greatest_records(body, 10) for body in bodies[3:]]
+    first = merge_records([top_records(body, 10) for body in bodies[:3]], 10)
+    rest = [top_records(body, 10) for body in bodies[3:]]
     assert merge_records([split_records(first), *rest], 10) == whole
--- a/trackwheel/relay/ends.py
+++ b/trackwheel/relay/outcomes.py
@@ -1,25 +1,25 @@
-"""What the quarantine learns of how requests end at targets."""
+"""Reports the outcomes of requests at targets to the quarantine."""
 
 from trackwheel.quarantine.service import Quarantine
 from trackwheel.relay.models import Outcome, Target
 from trackwheel.relay.transport import Sending, TargetTransport
 
 
-def tell_ends(transport: TargetTransport, quarantine: Quarantine) -> None:
-    """Let the quarantine know how each request of this box ends at its target."""
+def report_outcomes(transport: TargetTransport, quarantine: Quarantine) -> None:
+    """Report to the quarantine how each request of this box ends at its target."""
 
     def ended(sending: Sending, outcome: Outcome, sent_at: float) -> None:
         match outcome:
             case Outcome.OK:
-                # No other answer clears a request: a failing target may not have begun to run it.
+                # Only a success clears a request: a failing target may not have started it.
                 quarantine.answered(sending.request.fingerprint)
             case Outcome.CLOSED:
-                quarantine.closed(sending.request.fingerprint, sending.target.life)
+                quarantine.closed(sending.request.fingerprint, sending.target.incarnation)
             case Outcome.NOT_SENT:
-                quarantine.refused(sending.target.life)
+                quarantine.refused(sending.target.incarnation)
 
     def taken_back(fingerprint: bytes, target: Target) -> None:
-        quarantine.taken_back(fingerprint, target.life)
+        quarantine.taken_back(fingerprint, target.incarnation)
 
     transport.on_any_end(ended)
     transport.on_taken_back(taken_back)
