--- a/tests/directory/paged_store.py
+++ b/tests/directory/paged_store.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from random import Random
 
-from trackwheel.directory.models import EntryGone, HistoryGoneError, TargetEntry, TargetsRead
+from trackwheel.directory.models import EntryRemoved, HistoryGoneError, TargetEntry, TargetsRead
 from trackwheel.directory.revisions import era_of, make_revision
 from trackwheel.errors import Problem
 
@@ -23,7 +23,7 @@
         self.entry_by_instance: dict[str, TargetEntry] = {}
         self.last_by_instance: dict[str, TargetEntry] = {}
         """What each target wrote last; those that are gone for good are not in it."""
-        self._history: list[TargetEntry | EntryGone] = []
+        self._history: list[TargetEntry | EntryRemoved] = []
 
     @property
     def revision(self) -> int:
@@ -46,7 +46,7 @@
         self.written += 1
         self.last_by_instance.pop(instance, None)
         del self.entry_by_instance[instance]
-        self._history.append(EntryGone(instance, self.revision))
+        self._history.append(EntryRemoved(instance, self.revision))
 
     def copy(self) -> tuple[int, dict[str, TargetEntry]]:
         """Return what the store holds now."""
@@ -106,5 +106,5 @@
             raise HistoryGoneError(Problem("history_gone", "watch", "store", "came back"))
         news = [event for event in self._history if event.revision > after]
         entries = [event for event in news if isinstance(event, TargetEntry)]
-        gone = [event for event in news if isinstance(event, EntryGone)]
+        gone = [event for event in news if isinstance(event, EntryRemoved)]
         return TargetsRead(after, entries, gone, self.revision)
--- a/tests/directory/test_targets.py
+++ b/tests/directory/test_targets.py
@@ -5,7 +5,7 @@
 import pytest
 
 from trackwheel.directory.const import GONE_HOLD_S, LAPSE_NEWS_S, LAPSE_RETURN_S
-from trackwheel.directory.models import EntryGone, TargetEntry, TargetsRead
+from trackwheel.directory.models import EntryRemoved, TargetEntry, TargetsRead
 from trackwheel.directory.targets import TargetDirectory
 
 
@@ -28,8 +28,8 @@
 NEWS = [
     TargetsRead(0, [entry("a", 1), entry("b", 2)], [], 2),
     TargetsRead(2, [entry("a", 3, leaving=True)], [], 3),
-    TargetsRead(3, [], [EntryGone("a", 4)], 4),
-    TargetsRead(4, [entry("c", 5)], [EntryGone("b", 5)], 5),
+    TargetsRead(3, [], [EntryRemoved("a", 4)], 4),
+    TargetsRead(4, [entry("c", 5)], [EntryRemoved("b", 5)], 5),
 ]
 
 
@@ -68,7 +68,7 @@
 def test_entry_that_went_without_notice_is_a_last_resort_for_a_while() -> None:
     directory = make_directory()
     directory.take(NEWS[0], 0.0)
-    directory.take(TargetsRead(2, [], [EntryGone("a", 3)], 3), 1.0)
+    directory.take(TargetsRead(2, [], [EntryRemoved("a", 3)], 3), 1.0)
     assert states(directory) == {"a": "doubtful", "b": "ready"}
     assert directory.next_expiry() == 1.0 + GONE_HOLD_S
     assert not directory.expire(1.0)
@@ -107,7 +107,7 @@
     directory.take(NEWS[0], 0.0)
     directory.store_lost()
     directory.store_back(BACK_AT)
-    directory.take(TargetsRead(2, [], [EntryGone("a", 3)], 3), BACK_AT + 0.1)
+    directory.take(TargetsRead(2, [], [EntryRemoved("a", 3)], 3), BACK_AT + 0.1)
     assert states(directory) == {"a": "ready", "b": "ready"}
     assert directory.next_expiry() == HOLD_ENDS_AT
 
@@ -183,7 +183,7 @@
     by_watch, by_reading = make_directory(), make_directory()
     for directory in (by_watch, by_reading):
         directory.take(NEWS[0], 0.0)
-    by_watch.take(TargetsRead(2, [], [EntryGone("a", 3)], 3), 0.0)
+    by_watch.take(TargetsRead(2, [], [EntryRemoved("a", 3)], 3), 0.0)
     by_reading.take(TargetsRead(None, [entry("b", 2)], [], 40), 0.0)
     assert by_watch.newest < by_reading.newest
     by_watch.take_push(by_reading.changes(by_watch.newest, 0.0), 1.0)
@@ -194,7 +194,7 @@
     directory = make_directory()
     directory.take(NEWS[0], 0.0)
     assert not directory.take(TargetsRead(2, [entry("a", 6)], [], 6), 0.0)
-    assert not directory.take(TargetsRead(6, [], [EntryGone("a", 5)], 6), 0.0)
+    assert not directory.take(TargetsRead(6, [], [EntryRemoved("a", 5)], 6), 0.0)
     assert states(directory)["a"] == "ready"
 
 
@@ -216,7 +216,7 @@
         directory.take(news, 0.0)
     push = directory.changes(since, 0.0)
     assert {entry.instance for entry in push.entries} == instances
-    assert {gone.instance for gone in push.gone} == gone
+    assert {gone.instance for gone in push.removed} == gone
 
 
 def test_heartbeat_is_no_change_for_a_peer() -> None:
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -9,7 +9,7 @@
 import pytest
 from returns.result import Failure, Result, Success
 
-from trackwheel.directory.models import EntryGone, TargetsRead
+from trackwheel.directory.models import EntryRemoved, TargetsRead
 from trackwheel.errors import TrackwheelError
 from trackwheel.platform.decode import decode_target
 from trackwheel.platform.store import StoreAnswer, StoreClient
@@ -142,7 +142,7 @@
     changes = anyio.run(store.watch_targets, 3, 0.0).unwrap()
     assert isinstance(changes, TargetsRead)
     assert [entry.instance for entry in changes.entries] == ["a"]
-    assert changes.gone == [EntryGone("b", 6), EntryGone("b", 7)]
+    assert changes.removed == [EntryRemoved("b", 6), EntryRemoved("b", 7)]
     assert log.keys == ["servers/b"]
 
 
@@ -151,7 +151,7 @@
     store = ToldStore(NoLog(), {"events": [broken, item("a", written(), 7)], "as_of": 7})
     changes = anyio.run(store.watch_targets, 3, 0.0).unwrap()
     assert [entry.instance for entry in changes.entries] == ["a"]
-    assert changes.gone == [EntryGone("b", 6)]
+    assert changes.removed == [EntryRemoved("b", 6)]
 
 
 CONFIG = {
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -880,7 +880,7 @@
         DIRECTORY + "test_news_end_the_same_in_any_order",
         Mutant(
             "trackwheel/directory/targets.py",
-            "gone.revision >= entry.revision or is_earlier_word(entry, gone)",
+            "removal.revision >= entry.revision or is_earlier_word(entry, removal)",
             "False",
         ),
     ),
--- a/tests/relay/test_lives.py
+++ b/tests/relay/test_lives.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.relay.conftest import HERE, ROUTE, target
-from trackwheel.directory.models import EntryGone, TargetEntry, TargetsPush, TargetsRead
+from trackwheel.directory.models import EntryRemoved, TargetEntry, TargetsPush, TargetsRead
 from trackwheel.directory.targets import TargetDirectory
 from trackwheel.relay.board import Board
 from trackwheel.relay.models import Load, Outcome
@@ -74,7 +74,7 @@
 
 STEPS = [
     TargetsRead(0, [entry(1_000, 4)], [], 4),
-    TargetsRead(4, [], [EntryGone("t", 6)], 6),
+    TargetsRead(4, [], [EntryRemoved("t", 6)], 6),
     TargetsRead(6, [entry(9_000, 8, cold_s=3.0)], [], 8),
     TargetsRead(8, [entry(9_000, 9, cold_s=2.0)], [], 9),
 ]
--- a/trackwheel/directory/held.py
+++ b/trackwheel/directory/held.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from trackwheel.directory.const import COLD_AGAIN_S
-from trackwheel.directory.models import EntryGone, TargetEntry
+from trackwheel.directory.models import EntryRemoved, TargetEntry
 from trackwheel.directory.revisions import era_of
 
 
@@ -50,7 +50,7 @@
     )
 
 
-def is_earlier_word(entry: TargetEntry, known: TargetEntry | EntryGone) -> bool:
+def is_earlier_word(entry: TargetEntry, known: TargetEntry | EntryRemoved) -> bool:
     """Return whether a target wrote an entry no later than what is known, whatever its revision.
 
     A store that comes back from a copy shows old entries under new revisions.
--- a/trackwheel/directory/models.py
+++ b/trackwheel/directory/models.py
@@ -28,7 +28,7 @@
     sequence: int = 0
 
 
-class EntryGone(NamedTuple):
+class EntryRemoved(NamedTuple):
     """Say that the entry of a target is gone since a revision.
 
     `may_return_s` is how long an entry that lapsed while the store was away may still come back
@@ -74,7 +74,7 @@
 
     since: int | None
     entries: list[TargetEntry]
-    gone: list[EntryGone]
+    removed: list[EntryRemoved]
     as_of: int
     more: bool = False
 
@@ -159,7 +159,7 @@
     since: int
     newest: int
     entries: list[TargetEntry]
-    gone: list[EntryGone]
+    removed: list[EntryRemoved]
     may_return_s: float = 0.0
 
 
--- a/trackwheel/directory/service.py
+++ b/trackwheel/directory/service.py
@@ -179,11 +179,11 @@
             after=None if read.since is None else show_revision(read.since),
             as_of=show_revision(read.as_of),
             entries=len(read.entries),
-            gone=len(read.gone),
+            gone=len(read.removed),
             peers=self._telling.near,
             told_after=show_revision(push.since),
             told_newest=show_revision(push.newest),
-            told=len(push.entries) + len(push.gone),
+            told=len(push.entries) + len(push.removed),
         )
 
     def take_copy(self, orders: OrdersRead, targets: TargetsRead) -> None:
--- a/trackwheel/directory/targets.py
+++ b/trackwheel/directory/targets.py
@@ -5,7 +5,7 @@
 from trackwheel.directory.const import GONE_HOLD_S, LAPSE_NEWS_S, LAPSE_RETURN_S
 from trackwheel.directory.digest import EntriesDigest
 from trackwheel.directory.held import HeldTarget, is_earlier_word
-from trackwheel.directory.models import EntryGone, TargetEntry, TargetsPush, TargetsRead
+from trackwheel.directory.models import EntryRemoved, TargetEntry, TargetsPush, TargetsRead
 from trackwheel.directory.revisions import era_of
 from trackwheel.relay.models import Place, Target
 
@@ -21,7 +21,7 @@
     def __init__(self, region_by_failure_domain: dict[str, str]) -> None:
         self._region_by_failure_domain = region_by_failure_domain
         self._held_by_instance: dict[str, HeldTarget] = {}
-        self._gone_by_instance: dict[str, EntryGone] = {}
+        self._gone_by_instance: dict[str, EntryRemoved] = {}
         self._store_away = False
         self._store_back_at = float("-inf")
         self.digest = EntriesDigest()
@@ -64,13 +64,13 @@
         self._note_era(read.as_of, now)
         changed = [self._note(self._merge(entry, now), entry.revision) for entry in read.entries]
         changed += [
-            self._note(self._remove(self._judged(gone, now), now), gone.revision)
-            for gone in read.gone
+            self._note(self._remove(self._judged(removal, now), now), removal.revision)
+            for removal in read.removed
         ]
         if read.since is None:
             listed = {entry.instance for entry in read.entries}
-            removed = self._remove_missing(listed, read.as_of, self._any_may_return_s(now), now)
-            changed += [self._note(was_there, read.as_of) for was_there in removed]
+            dropped = self._remove_missing(listed, read.as_of, self._any_may_return_s(now), now)
+            changed += [self._note(was_present, read.as_of) for was_present in dropped]
             self._reach(read.as_of)
         self._confirm(read.as_of)
         return any(changed)
@@ -87,7 +87,7 @@
         """Take news of a peer; return whether anything is another now."""
         self._note_era(push.newest, now)
         changed = [self._merge(entry, now) for entry in push.entries]
-        changed += [self._remove(gone, now) for gone in push.gone]
+        changed += [self._remove(removal, now) for removal in push.removed]
         if push.since == 0:
             listed = {entry.instance for entry in push.entries}
             changed += self._remove_missing(listed, push.newest, push.may_return_s, now)
@@ -131,12 +131,12 @@
             for held in self._held_by_instance.values()
             if held.there and held.changed_revision > since
         ]
-        gone = [
-            gone._replace(may_return_s=self._may_return_s(gone.instance, now))
-            for gone in self._gone_by_instance.values()
-            if gone.revision > since
+        removed = [
+            removed._replace(may_return_s=self._may_return_s(removed.instance, now))
+            for removed in self._gone_by_instance.values()
+            if removed.revision > since
         ]
-        return TargetsPush(since, self.newest, entries, gone, self._any_may_return_s(now))
+        return TargetsPush(since, self.newest, entries, removed, self._any_may_return_s(now))
 
     def expire(self, now: float) -> bool:
         """Drop targets whose time as a last resort is over; return whether there were any."""
@@ -180,8 +180,10 @@
         return {service: tuple(targets) for service, targets in found.items()}
 
     def _merge(self, entry: TargetEntry, now: float) -> bool:
-        gone = self._gone_by_instance.get(entry.instance)
-        if gone is not None and (gone.revision >= entry.revision or is_earlier_word(entry, gone)):
+        removal = self._gone_by_instance.get(entry.instance)
+        if removal is not None and (
+            removal.revision >= entry.revision or is_earlier_word(entry, removal)
+        ):
             return False
         held = self._held_by_instance.get(entry.instance)
         if held is not None and held.there:
@@ -198,9 +200,9 @@
         self._hold(HeldTarget(entry, entry.revision, now + entry.cold_s))
         return True
 
-    def _judged(self, gone: EntryGone, now: float) -> EntryGone:
+    def _judged(self, removal: EntryRemoved, now: float) -> EntryRemoved:
         """Return news of the store with how long the entry may still come back."""
-        return gone._replace(may_return_s=self._any_may_return_s(now))
+        return removal._replace(may_return_s=self._any_may_return_s(now))
 
     def _any_may_return_s(self, now: float) -> float:
         """Return how long entries that lapsed with the store may still come back (seconds)."""
@@ -212,38 +214,38 @@
         held = self._held_by_instance.get(instance)
         return max(0.0, held.drop_at - now) if held is not None and held.lapsed else 0.0
 
-    def _remove(self, gone: EntryGone, now: float) -> bool:
+    def _remove(self, removal: EntryRemoved, now: float) -> bool:
         """Take that an entry is gone; return whether that changes anything."""
-        held = self._held_by_instance.get(gone.instance)
-        if held is not None and held.entry.revision > gone.revision:
+        held = self._held_by_instance.get(removal.instance)
+        if held is not None and held.entry.revision > removal.revision:
             return False
-        self._note_gone(gone, held)
+        self._note_gone(removal, held)
         if held is None or not held.there:
             return False
         if held.entry.leaving:
-            self._drop(gone.instance)
+            self._drop(removal.instance)
             return True
-        lapsed = gone.may_return_s > 0.0
+        lapsed = removal.may_return_s > 0.0
         self._hold(
             held._replace(
                 there=False,
-                drop_at=now + (gone.may_return_s if lapsed else GONE_HOLD_S),
+                drop_at=now + (removal.may_return_s if lapsed else GONE_HOLD_S),
                 lapsed=lapsed,
             )
         )
         return True
 
-    def _note_gone(self, gone: EntryGone, held: HeldTarget | None) -> None:
+    def _note_gone(self, removal: EntryRemoved, held: HeldTarget | None) -> None:
         """Keep since when a target is gone, and its last word."""
-        known = self._gone_by_instance.get(gone.instance)
-        if known is not None and known.revision >= gone.revision:
+        known = self._gone_by_instance.get(removal.instance)
+        if known is not None and known.revision >= removal.revision:
             return
-        words = [(word.born_ms, word.sequence) for word in (gone, known) if word is not None]
+        words = [(word.born_ms, word.sequence) for word in (removal, known) if word is not None]
         if held is not None:
             words.append((held.entry.born_ms, held.entry.sequence))
         born_ms, sequence = max(words)
-        self._gone_by_instance[gone.instance] = EntryGone(
-            gone.instance, gone.revision, 0.0, born_ms, sequence
+        self._gone_by_instance[removal.instance] = EntryRemoved(
+            removal.instance, removal.revision, 0.0, born_ms, sequence
         )
 
     def _hold(self, held: HeldTarget) -> None:
@@ -272,4 +274,6 @@
             for held in self._held_by_instance.values()
             if held.entry.instance not in listed and held.there
         ]
-        return [self._remove(EntryGone(instance, as_of, may_return_s), now) for instance in missing]
+        return [
+            self._remove(EntryRemoved(instance, as_of, may_return_s), now) for instance in missing
+        ]
--- a/trackwheel/platform/store.py
+++ b/trackwheel/platform/store.py
@@ -11,7 +11,7 @@
 
 from trackwheel.clock import steady_now
 from trackwheel.directory.models import (
-    EntryGone,
+    EntryRemoved,
     Evacuation,
     HistoryGoneError,
     OrdersRead,
@@ -116,7 +116,7 @@
     def _target_changes(self, after: int, found: Events) -> TargetsRead:
         entries, unusable = self._entries([item for item in found.events if not item.deleted])
         gone = [
-            EntryGone(item.tls_key.removeprefix(PREFIX_TARGETS), item.revision)
+            EntryRemoved(item.tls_key.removeprefix(PREFIX_TARGETS), item.revision)
             for item in found.events
             if item.deleted
         ]
@@ -269,14 +269,14 @@
     def _with_table(self, content: bytes) -> Result[tuple[RouteTable, bytes], TrackwheelError]:
         return decode_routes(content).map(lambda table: (table, content))
 
-    def _entries(self, items: list[Item]) -> tuple[list[TargetEntry], list[EntryGone]]:
+    def _entries(self, items: list[Item]) -> tuple[list[TargetEntry], list[EntryRemoved]]:
         """Return the entries that can be used, and the keys that name no target to use.
 
         Those were written by somebody else than a target: what was known of the key before does
         not hold either. Each is logged once, until its target writes it again.
         """
         entries: list[TargetEntry] = []
-        unusable: list[EntryGone] = []
+        unusable: list[EntryRemoved] = []
         for item in items:
             key, revision = item.tls_key, item.revision
             match item.content().bind(partial(decode_target, key, revision=revision)):
@@ -284,7 +284,7 @@
                     entries.append(entry)
                     self._unusable_keys.discard(key)
                 case Failure(error):
-                    unusable.append(EntryGone(key.removeprefix(PREFIX_TARGETS), revision))
+                    unusable.append(EntryRemoved(key.removeprefix(PREFIX_TARGETS), revision))
                     self._note_unusable(key, error)
         return entries, unusable
 
