--- a/tests/directory/memory_fleet.py
+++ b/tests/directory/memory_fleet.py
@@ -11,7 +11,7 @@
 from trackwheel.clock import steady_now
 from trackwheel.directory.models import (
     Evacuation,
-    OrdersRead,
+    OperatorStateRead,
     TargetEntry,
     TargetsRead,
 )
@@ -79,22 +79,26 @@
     def _reached(self) -> bool:
         return self._address not in self._store.turned_away
 
-    async def read_orders(self, copy: bool = False) -> Result[OrdersRead, TrackwheelError]:
+    async def read_operator_state(
+        self, copy: bool = False
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         if not self._reached:
             return Failure(UNREACHED)
         words = tuple(
             Evacuation(domain, True, revision) for domain, revision in self._store.evacuated.items()
         )
         table = decode_routes(CONTENT).unwrap()
-        return Success(OrdersRead(table, CONTENT, self._store.revision, False, words, True))
+        return Success(OperatorStateRead(table, CONTENT, self._store.revision, False, words, True))
 
-    async def watch_orders(self, after: int, wait_s: float) -> Result[OrdersRead, TrackwheelError]:
+    async def watch_operator_state(
+        self, after: int, wait_s: float
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         if not self._store.words_after(after):
             await self._store.wait(wait_s)
         if not self._reached:
             return Failure(UNREACHED)
         words = self._store.words_after(after)
-        return Success(OrdersRead(None, b"", self._store.revision, False, words))
+        return Success(OperatorStateRead(None, b"", self._store.revision, False, words))
 
     async def read_targets(self, copy: bool = False) -> Result[TargetsRead, TrackwheelError]:
         if not self._reached:
--- a/tests/directory/test_service.py
+++ b/tests/directory/test_service.py
@@ -13,7 +13,7 @@
 from trackwheel.directory.models import (
     DirectoryAsk,
     DirectoryBeacon,
-    OrdersRead,
+    OperatorStateRead,
     RoutesPush,
     TargetEntry,
     TargetsPush,
@@ -79,11 +79,11 @@
     return service, hub, log
 
 
-def read(version: int, routes: int = 1) -> OrdersRead:
+def read(version: int, routes: int = 1) -> OperatorStateRead:
     route = CONFIG["routes"][0]  # type: ignore[index]
     many = [{**route, "name": f"r{n}", "path_prefix": f"/r{n}/"} for n in range(routes)]
     content = json.dumps({**CONFIG, "version": version, "routes": many}).encode()
-    return OrdersRead(decode_routes(content).unwrap(), content, version)
+    return OperatorStateRead(decode_routes(content).unwrap(), content, version)
 
 
 def test_configuration_reaches_a_peer_whole_and_small() -> None:
@@ -156,12 +156,16 @@
 class SilentTargets(FakeSource):
     """Answer the watch of the routes; that of the targets hears nothing after the first reading."""
 
-    async def read_orders(self, copy: bool = False) -> Result[OrdersRead, TrackwheelError]:
+    async def read_operator_state(
+        self, copy: bool = False
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         return Success(read(3))
 
-    async def watch_orders(self, after: int, wait_s: float) -> Result[OrdersRead, TrackwheelError]:
+    async def watch_operator_state(
+        self, after: int, wait_s: float
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         await anyio.sleep(0.02)
-        return Success(OrdersRead(None, b"", after))
+        return Success(OperatorStateRead(None, b"", after))
 
     async def read_targets(self, copy: bool = False) -> Result[TargetsRead, TrackwheelError]:
         return Success(TargetsRead(None, [ENTRY], [], 6))
@@ -198,10 +202,14 @@
         self.left = answers
         self.calls: list[str] = []
 
-    async def read_orders(self, copy: bool = False) -> Result[OrdersRead, TrackwheelError]:
+    async def read_operator_state(
+        self, copy: bool = False
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         return Success(read(3))
 
-    async def watch_orders(self, after: int, wait_s: float) -> Result[OrdersRead, TrackwheelError]:
+    async def watch_operator_state(
+        self, after: int, wait_s: float
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         await anyio.sleep_forever()
         raise AssertionError("never answered")
 
@@ -245,7 +253,9 @@
     def __init__(self) -> None:
         self.reads: list[tuple[str, bool]] = []
 
-    async def read_orders(self, copy: bool = False) -> Result[OrdersRead, TrackwheelError]:
+    async def read_operator_state(
+        self, copy: bool = False
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         self.reads.append(("routes", copy))
         return Success(read(3))
 
@@ -253,7 +263,9 @@
         self.reads.append(("targets", copy))
         return Success(TargetsRead(None, [ENTRY], [], 6))
 
-    async def watch_orders(self, after: int, wait_s: float) -> Result[OrdersRead, TrackwheelError]:
+    async def watch_operator_state(
+        self, after: int, wait_s: float
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         await anyio.sleep_forever()
         raise AssertionError("never answered")
 
--- a/trackwheel/directory/models.py
+++ b/trackwheel/directory/models.py
@@ -51,7 +51,7 @@
     revision: int
 
 
-class OrdersRead(NamedTuple):
+class OperatorStateRead(NamedTuple):
     """Bring what the operator has written: a configuration, None when none is new, evacuations.
 
     With `whole`, all evacuations are listed that are asked for; otherwise those that changed.
@@ -89,10 +89,14 @@
     With `copy`, what is read may be seconds old, and parts of it of different ages.
     """
 
-    async def read_orders(self, copy: bool = False) -> Result[OrdersRead, TrackwheelError]:
+    async def read_operator_state(
+        self, copy: bool = False
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         """Return the configuration and the evacuations as they stand."""
 
-    async def watch_orders(self, after: int, wait_s: float) -> Result[OrdersRead, TrackwheelError]:
+    async def watch_operator_state(
+        self, after: int, wait_s: float
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         """Return what changes of them after a revision, or nothing after a while."""
 
     async def read_targets(self, copy: bool = False) -> Result[TargetsRead, TrackwheelError]:
--- a/trackwheel/directory/reading.py
+++ b/trackwheel/directory/reading.py
@@ -24,7 +24,7 @@
 from trackwheel.directory.models import (
     DirectorySource,
     HistoryGoneError,
-    OrdersRead,
+    OperatorStateRead,
     TargetsRead,
 )
 from trackwheel.directory.targets import TargetDirectory
@@ -32,13 +32,13 @@
 from trackwheel.errors import TrackwheelError
 from trackwheel.telemetry.events import EventLog
 
-T = TypeVar("T", OrdersRead, TargetsRead)
+T = TypeVar("T", OperatorStateRead, TargetsRead)
 
 
 class StoreNews(Protocol):
     """Take what was read of the store."""
 
-    def take_orders(self, read: OrdersRead) -> int | None:
+    def take_orders(self, read: OperatorStateRead) -> int | None:
         """Take a reading or a change; return the revision from which to watch on.
 
         None asks for everything once more.
@@ -47,7 +47,7 @@
     def take_targets(self, read: TargetsRead) -> int:
         """Take a reading or changes; return the revision from which to watch on."""
 
-    def take_copy(self, orders: OrdersRead, targets: TargetsRead) -> None:
+    def take_copy(self, orders: OperatorStateRead, targets: TargetsRead) -> None:
         """Take what may be seconds old."""
 
 
@@ -91,7 +91,7 @@
         if not self._watching.settles(steady_now()):
             return
         self.calls += 2
-        orders = await self._source.read_orders(copy=True)
+        orders = await self._source.read_operator_state(copy=True)
         targets = await self._source.read_targets(copy=True)
         match orders, targets:
             case Success(orders_read), Success(targets_read):
@@ -101,8 +101,8 @@
 
     async def _follow_orders(self) -> None:
         await self._follow(
-            self._source.read_orders,
-            self._source.watch_orders,
+            self._source.read_operator_state,
+            self._source.watch_operator_state,
             self._news.take_orders,
             self._orders_flow,
             ORDERS_WAIT_S,
--- a/trackwheel/directory/service.py
+++ b/trackwheel/directory/service.py
@@ -22,7 +22,7 @@
     DirectorySource,
     Evacuation,
     EvacuationsPush,
-    OrdersRead,
+    OperatorStateRead,
     RoutesPush,
     TargetsPush,
     TargetsRead,
@@ -140,7 +140,7 @@
             tasks.start_soon(self._telling.run)
             tasks.start_soon(self._expire)
 
-    def take_orders(self, read: OrdersRead) -> int | None:
+    def take_orders(self, read: OperatorStateRead) -> int | None:
         """Take a reading or a change of the store.
 
         Return the revision from which to watch on, None when all is to be read once more.
@@ -186,7 +186,7 @@
             told=len(push.entries) + len(push.removed),
         )
 
-    def take_copy(self, orders: OrdersRead, targets: TargetsRead) -> None:
+    def take_copy(self, orders: OperatorStateRead, targets: TargetsRead) -> None:
         """Take a copy of the store that may be seconds old."""
         if orders.table is not None:
             self._adopt(orders.table, zlib.compress(orders.content, PACK_LEVEL), "copy")
--- a/trackwheel/platform/store.py
+++ b/trackwheel/platform/store.py
@@ -14,7 +14,7 @@
     EntryRemoved,
     Evacuation,
     HistoryGoneError,
-    OrdersRead,
+    OperatorStateRead,
     TargetEntry,
     TargetsRead,
 )
@@ -89,12 +89,16 @@
         """Return the configuration that some bytes hold."""
         return decode_routes(content)
 
-    async def read_orders(self, copy: bool = False) -> Result[OrdersRead, TrackwheelError]:
+    async def read_operator_state(
+        self, copy: bool = False
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         """Return the configuration and the evacuations as they stand."""
         reading = await self._read_all(PREFIX_ORDERS, copy)
         return reading.map(lambda found: self._orders(found.items, found.as_of, whole=True))
 
-    async def watch_orders(self, after: int, wait_s: float) -> Result[OrdersRead, TrackwheelError]:
+    async def watch_operator_state(
+        self, after: int, wait_s: float
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         """Return what changes of them after a revision, or nothing after a while."""
         changes = await self._watch(PREFIX_ORDERS, after, wait_s)
         return changes.map(lambda found: self._orders(found.events, max(after, found.as_of), False))
@@ -245,7 +249,7 @@
             return Failure(store_error(UNAVAILABLE, step, self._address, f"status {status}"))
         return Success(StoreAnswer(era, end.answer.body))
 
-    def _orders(self, items: list[Item], as_of: int, whole: bool) -> OrdersRead:
+    def _orders(self, items: list[Item], as_of: int, whole: bool) -> OperatorStateRead:
         """Return the newest configuration among some items, and the evacuations."""
         evacuations = tuple(
             Evacuation(
@@ -254,7 +258,7 @@
             for item in items
             if item.tls_key.startswith(PREFIX_EVACUATIONS)
         )
-        read = OrdersRead(None, b"", as_of, evacuations=evacuations, whole=whole)
+        read = OperatorStateRead(None, b"", as_of, evacuations=evacuations, whole=whole)
         written = [item for item in items if item.tls_key == KEY_CONFIG and not item.deleted]
         if not written:
             return read
