--- a/tests/directory/memory_fleet.py
+++ b/tests/directory/memory_fleet.py
@@ -17,7 +17,7 @@
 )
 from trackwheel.directory.service import DirectoryService
 from trackwheel.directory.targets import TargetDirectory
-from trackwheel.directory.watching import Watching
+from trackwheel.directory.watcher_election import WatcherElection
 from trackwheel.errors import Problem, TrackwheelError
 from trackwheel.peers.models import PeerIdentity
 from trackwheel.platform.decode import decode_routes
@@ -155,7 +155,7 @@
             self.hub,  # type: ignore[arg-type]
             MemorySource(fleet.store, self.address),
             TargetDirectory(dict.fromkeys(DOMAINS, "r")),
-            Watching(steady_now(), self.address, first=place == 0),
+            WatcherElection(steady_now(), self.address, first=place == 0),
             NoLog(),  # type: ignore[arg-type]
             3.0,
         )
--- a/tests/directory/test_readings.py
+++ b/tests/directory/test_readings.py
@@ -12,7 +12,7 @@
 from trackwheel.directory.models import DirectoryBeacon, TargetsRead
 from trackwheel.directory.service import DirectoryService
 from trackwheel.directory.targets import TargetDirectory
-from trackwheel.directory.watching import Watching
+from trackwheel.directory.watcher_election import WatcherElection
 from trackwheel.peers.models import PeerIdentity
 
 CHANGES_BETWEEN_PAGES = 3
@@ -43,7 +43,7 @@
             self,  # type: ignore[arg-type]
             FakeSource(),  # type: ignore[arg-type]
             self.targets,
-            Watching(steady_now(), address, first=True),
+            WatcherElection(steady_now(), address, first=True),
             FakeLog(),  # type: ignore[arg-type]
             drain_s,
         )
--- a/tests/directory/test_service.py
+++ b/tests/directory/test_service.py
@@ -21,7 +21,7 @@
 )
 from trackwheel.directory.service import DirectoryService
 from trackwheel.directory.targets import TargetDirectory
-from trackwheel.directory.watching import Watching
+from trackwheel.directory.watcher_election import WatcherElection
 from trackwheel.errors import Problem, TrackwheelError
 from trackwheel.peers.models import PeerIdentity
 from trackwheel.platform.decode import decode_routes
@@ -71,7 +71,7 @@
         hub,  # type: ignore[arg-type]
         source or FakeSource(),  # type: ignore[arg-type]
         TargetDirectory({}),
-        Watching(steady_now(), OWN.address, first),
+        WatcherElection(steady_now(), OWN.address, first),
         log,  # type: ignore[arg-type]
         drain_s,
     )
--- a/tests/directory/test_store_outage.py
+++ b/tests/directory/test_store_outage.py
@@ -13,7 +13,7 @@
 
 from trackwheel.directory.const import BEACON_PERIOD_S, RETRY_LONGEST_S, UNHEARD_S
 from trackwheel.directory.in_step import HowFar, PeerFlow, StoreFlow
-from trackwheel.directory.watching import Watching
+from trackwheel.directory.watcher_election import WatcherElection
 
 STEP_S = 0.05
 WATCH_S = 1.0
@@ -31,8 +31,8 @@
         self.domain = domain
         self.place = place
         self.first = place == 0
-        self.watching = Watching(0.0, self.address, place == 0)
-        self.watching.set_boxes_before(before)
+        self.election = WatcherElection(0.0, self.address, place == 0)
+        self.election.set_boxes_before(before)
         self.flow = StoreFlow("routes", WATCH_S + 1.0)
         self.peer_flow = PeerFlow()
         self.next_call_at = 0.0
@@ -70,7 +70,7 @@
     def hear(self, sender: "Box", now: float) -> None:
         self.answered_at = max(self.answered_at, sender.answered_at)
         if sender.domain == self.domain:
-            self.watching.heard(sender.address, sender.told, now, sender.told_ago_s)
+            self.election.heard(sender.address, sender.told, now, sender.told_ago_s)
             if sender.told:
                 self.in_step_at = now
         if sender.told == sender.address:
@@ -97,7 +97,7 @@
                 box.in_step_at = now
                 continue
             box.note(now)
-            if not box.watching.watches(now):
+            if not box.election.watches(now):
                 continue
             stands = box.flow.in_step(now)
             if now >= box.next_call_at or (resets and stands and not reaches(box, now)):
--- a/tests/directory/test_watching.py
+++ b/tests/directory/test_watcher_election.py
@@ -5,7 +5,7 @@
 import pytest
 
 from trackwheel.directory.const import SILENT_STEP_S, START_SETTLE_S, START_WAIT_S, UNHEARD_S
-from trackwheel.directory.watching import Watching
+from trackwheel.directory.watcher_election import WatcherElection
 
 OWN = "own"
 
@@ -97,19 +97,19 @@
 def test_few_boxes_read_the_store(
     first: bool, before: list[str], words: list[Word], now: float, watches: bool
 ) -> None:
-    watching = Watching(0.0, OWN, first)
-    watching.set_boxes_before(before)
+    election = WatcherElection(0.0, OWN, first)
+    election.set_boxes_before(before)
     for word in words:
-        watching.heard(word.address, word.goes_by, word.at)
-    assert watching.watches(now) is watches
+        election.heard(word.address, word.goes_by, word.at)
+    assert election.watches(now) is watches
 
 
 def test_box_that_reads_leaves_that_only_to_one_before_it() -> None:
     """Two boxes that read and heard of each other both stopped, and nobody read for two seconds."""
-    watching = Watching(0.0, OWN, True)
-    watching.set_boxes_before(["w"])
-    assert watching.watches(0.0)
-    watching.heard("after", "after", 0.1)
-    assert watching.watches(0.2)
-    watching.heard("w", "w", 0.3)
-    assert not watching.watches(0.4)
+    election = WatcherElection(0.0, OWN, True)
+    election.set_boxes_before(["w"])
+    assert election.watches(0.0)
+    election.heard("after", "after", 0.1)
+    assert election.watches(0.2)
+    election.heard("w", "w", 0.3)
+    assert not election.watches(0.4)
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -57,7 +57,7 @@
 HTTP_TARGET = "tests/http1/test_client.py::"
 HTTP_CLIENT = "tests/http1/test_server.py::"
 DIRECTORY = "tests/directory/test_targets.py::"
-WATCHING = "tests/directory/test_watching.py::"
+WATCHING = "tests/directory/test_watcher_election.py::"
 OUTAGE = "tests/directory/test_store_outage.py::"
 NEWS = "tests/relay/test_news.py::"
 CRASHING = "tests/whole/test_crashing_request.py::"
@@ -911,7 +911,9 @@
         MEMBERSHIP,
         "the store goes for all boxes, at 6 to 198 of them",
         OUTAGE + "test_boxes_that_call_a_store_that_is_away_do_not_grow_with_the_fleet",
-        Mutant("trackwheel/directory/watching.py", "UNHEARD_S * 2.0**doublings", "UNHEARD_S"),
+        Mutant(
+            "trackwheel/directory/watcher_election.py", "UNHEARD_S * 2.0**doublings", "UNHEARD_S"
+        ),
     ),
     Row(
         PLATFORM,
@@ -942,7 +944,7 @@
         "tests/directory/test_service.py::"
         "test_box_that_starts_serves_by_a_copy_and_learns_the_rest_from_a_watcher",
         Mutant(
-            "trackwheel/directory/watching.py",
+            "trackwheel/directory/watcher_election.py",
             "now + (0.0 if first else START_SETTLE_S)",
             "now",
         ),
@@ -1092,7 +1094,7 @@
         IN_FORCE,
         "watchers fall silent, or the store turns them away",
         WATCHING + "test_few_boxes_read_the_store",
-        Mutant("trackwheel/directory/watching.py", "if not goes_by:", "if False:"),
+        Mutant("trackwheel/directory/watcher_election.py", "if not goes_by:", "if False:"),
     ),
     Row(
         PLATFORM,
@@ -1451,7 +1453,7 @@
         "tests/directory/test_store_outage.py::"
         "test_next_boxes_read_in_time_when_all_watchers_lose_the_store_at_once",
         Mutant(
-            "trackwheel/directory/watching.py",
+            "trackwheel/directory/watcher_election.py",
             "max(self._trusted_at, now - ago_s)",
             "now",
         ),
--- a/trackwheel/directory/reading.py
+++ b/trackwheel/directory/reading.py
@@ -28,7 +28,7 @@
     TargetsRead,
 )
 from trackwheel.directory.targets import TargetDirectory
-from trackwheel.directory.watching import Watching
+from trackwheel.directory.watcher_election import WatcherElection
 from trackwheel.errors import TrackwheelError
 from trackwheel.telemetry.events import EventLog
 
@@ -58,14 +58,14 @@
         self,
         source: DirectorySource,
         targets: TargetDirectory,
-        watching: Watching,
+        election: WatcherElection,
         news: StoreNews,
         log: EventLog,
         drain_s: float,
     ) -> None:
         self._source = source
         self._targets = targets
-        self._watching = watching
+        self._election = election
         self._news = news
         self._log = log
         self.targets_rest_s = drain_s * TARGETS_REST_SHARE
@@ -88,7 +88,7 @@
 
     async def _start_from_copy(self) -> None:
         """Serve by a copy of the store until a watcher is heard of, or this box reads itself."""
-        if not self._watching.settles(steady_now()):
+        if not self._election.settles(steady_now()):
             return
         self.calls += 2
         orders = await self._source.read_operator_state(copy=True)
@@ -163,7 +163,7 @@
         While the store answers neither watch, the orders' one alone tries: one call tells as much
         as two.
         """
-        if not self._watching.watches(steady_now()):
+        if not self._election.watches(steady_now()):
             return False
         return flow is self._orders_flow or not (flow.lost and self._orders_flow.lost)
 
--- a/trackwheel/directory/service.py
+++ b/trackwheel/directory/service.py
@@ -31,7 +31,7 @@
 from trackwheel.directory.revisions import show_revision
 from trackwheel.directory.targets import TargetDirectory
 from trackwheel.directory.telling import PeerTelling
-from trackwheel.directory.watching import Watching
+from trackwheel.directory.watcher_election import WatcherElection
 from trackwheel.errors import Problem, TrackwheelError
 from trackwheel.peers.hub import Hub
 from trackwheel.peers.models import PeerIdentity
@@ -48,7 +48,7 @@
         hub: Hub,
         source: DirectorySource,
         targets: TargetDirectory,
-        watching: Watching,
+        election: WatcherElection,
         log: EventLog,
         drain_s: float,
     ) -> None:
@@ -56,16 +56,16 @@
         self._own_address = hub.identity.address
         self._source = source
         self._targets = targets
-        self._watching = watching
+        self._election = election
         self._log = log
         self._packed = b""
         self._evacuations = Evacuations()
         self._orders_settled_at = float("inf")
-        self._reader = StoreReader(source, targets, watching, self, log, drain_s)
+        self._reader = StoreReader(source, targets, election, self, log, drain_s)
         self._lag = Lag(self._reader.targets_rest_s)
         self._peer_flow = PeerFlow()
         self._agreement = Agreement(2 * self._reader.targets_rest_s)
-        self._telling = PeerTelling(hub, watching, log, self.goes_by, self._beacon)
+        self._telling = PeerTelling(hub, election, log, self.goes_by, self._beacon)
         self._on_routes: list[Callable[[RouteTable], None]] = []
         self._on_targets: list[Callable[[dict[str, tuple[Target, ...]]], None]] = []
         self.table: RouteTable | None = None
@@ -121,7 +121,7 @@
 
         Watchers of other domains read the store too; one that cannot asks for what it lacks.
         """
-        self._watching.set_boxes_before(before)
+        self._election.set_boxes_before(before)
         self._telling.set_peers(near, far_watchers)
 
     def peer_version(self, address: str, version: int) -> None:
@@ -130,7 +130,7 @@
         Its targets are asked for only while no watcher is heard from: one near sends them too.
         """
         if version > self.version:
-            unheard = self._watching.watches(steady_now()) and not self.synced
+            unheard = self._election.watches(steady_now()) and not self.synced
             self._ask(address, targets_wanted=unheard)
 
     async def run(self) -> None:
@@ -232,7 +232,7 @@
         self._take_evacuations(beacon.evacuations, sender.box_id)
         now = steady_now()
         if sender.failure_domain == self._hub.identity.failure_domain:
-            self._watching.heard(sender.address, beacon.goes_by, now, beacon.heard_ago_s)
+            self._election.heard(sender.address, beacon.goes_by, now, beacon.heard_ago_s)
         if beacon.goes_by == sender.address:
             self._peer_flow.heard(
                 sender.address, beacon.routes_version, beacon.targets_newest, now, self._how_far
--- a/trackwheel/directory/telling.py
+++ b/trackwheel/directory/telling.py
@@ -12,7 +12,7 @@
     RoutesPush,
     TargetsPush,
 )
-from trackwheel.directory.watching import Watching
+from trackwheel.directory.watcher_election import WatcherElection
 from trackwheel.peers.hub import Hub
 from trackwheel.telemetry.events import EventLog
 
@@ -29,13 +29,13 @@
     def __init__(
         self,
         hub: Hub,
-        watching: Watching,
+        election: WatcherElection,
         log: EventLog,
         goes_by: Callable[[float], str],
         beacon: Callable[[float], DirectoryBeacon],
     ) -> None:
         self._hub = hub
-        self._watching = watching
+        self._election = election
         self._log = log
         self._goes_by = goes_by
         self._beacon = beacon
@@ -61,7 +61,7 @@
 
     def tell_near(self, news: News) -> None:
         """Pass on what another box has told, while this one reads the store for those nearby."""
-        if self._watching.watches(steady_now()):
+        if self._election.watches(steady_now()):
             self.pass_on(news)
 
     async def run(self) -> None:
@@ -73,7 +73,7 @@
         while True:
             await anyio.sleep(LOOK_PERIOD_S)
             now = steady_now()
-            self._note_watching(self._watching.watches(now))
+            self._note_watching(self._election.watches(now))
             if self._watched:
                 self._tell_how_far(now)
 
@@ -91,7 +91,7 @@
             return
         self._watched = watches
         self._beacon_at = 0.0
-        self._log.write("store_watch", reads=watches, boxes_before=self._watching.boxes_before)
+        self._log.write("store_watch", reads=watches, boxes_before=self._election.boxes_before)
 
     def _send(self, message: News | DirectoryBeacon, addresses: Iterable[str]) -> None:
         for address in addresses:
--- a/trackwheel/directory/watching.py
+++ b/trackwheel/directory/watcher_election.py
@@ -11,7 +11,7 @@
 )
 
 
-class Watching:
+class WatcherElection:
     """Decide from the own place in the fleet and from what watchers say.
 
     The boxes of a failure domain stand in an order that all of them know. The first one watches
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -11,7 +11,7 @@
 from trackwheel.directory.models import DIRECTORY_MESSAGES
 from trackwheel.directory.service import DirectoryService
 from trackwheel.directory.targets import TargetDirectory
-from trackwheel.directory.watching import Watching
+from trackwheel.directory.watcher_election import WatcherElection
 from trackwheel.entry.const import (
     FIRST_LIMITS,
     PATH_METRICS,
@@ -98,7 +98,7 @@
             self.hub,
             self.store,
             TargetDirectory(settings.region_by_failure_domain),
-            Watching(now, settings.peers, first=settings.peers in settings.seeds),
+            WatcherElection(now, settings.peers, first=settings.peers in settings.seeds),
             self.log,
             settings.drain_s,
         )
