--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -9,7 +9,7 @@
 
 from standins.metadata_store import MetadataStore
 from trackwheel.directory.models import HistoryGoneError
-from trackwheel.directory.revisions import era_of, own_of
+from trackwheel.directory.revisions import era_of, store_revision_of
 from trackwheel.platform.store import StoreClient
 
 EVENTS = b'{"events": [], "as_of": 7}'
@@ -75,7 +75,7 @@
             case _:
                 pytest.fail("the changes under revisions that were given before are lost")
         after = (await client.read_targets()).unwrap()
-        assert (era_of(after.as_of), own_of(after.as_of)) == (2, 4)
+        assert (era_of(after.as_of), store_revision_of(after.as_of)) == (2, 4)
         assert after.as_of > before.as_of
         revision_by_instance = {entry.instance: entry.revision for entry in after.entries}
         assert set(revision_by_instance) == {"a", "c"}
--- a/trackwheel/directory/const.py
+++ b/trackwheel/directory/const.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-STORE_SLACK_S: Final = 1.0
+STORE_TIMEOUT_S: Final = 1.0
 """Longest wait for an answer of the store beyond the time that a watch may rest. It answers in
 milliseconds; a hundredfold of that is still heard."""
 SLOW_ANSWER_S: Final = 0.3
@@ -11,7 +11,7 @@
 ORDERS_WAIT_S: Final = 5.0
 """How long a watch of the operator's orders waits for a change. Longer means fewer calls; a
 connection that goes silent meanwhile is noticed by TCP's keep-alive."""
-ORDERS_PATIENCE_S: Final = ORDERS_WAIT_S + STORE_SLACK_S + 0.5
+ORDERS_PATIENCE_S: Final = ORDERS_WAIT_S + STORE_TIMEOUT_S + 0.5
 """A watcher whose orders the store confirmed longer ago no longer counts as in step: the longest
 watch, and half a second for its pause and for timers."""
 TARGETS_WAIT_SHARE: Final = 0.4
--- a/trackwheel/directory/reading.py
+++ b/trackwheel/directory/reading.py
@@ -16,7 +16,7 @@
     RETRY_LONGEST_S,
     RETURN_REST_S,
     SLOW_ANSWER_S,
-    STORE_SLACK_S,
+    STORE_TIMEOUT_S,
     TARGETS_REST_SHARE,
     TARGETS_WAIT_SHARE,
 )
@@ -71,7 +71,7 @@
         self.targets_rest_s = drain_s * TARGETS_REST_SHARE
         self._targets_wait_s = drain_s * TARGETS_WAIT_SHARE
         self._orders_flow = StoreFlow("orders", ORDERS_PATIENCE_S)
-        patience_s = self.targets_rest_s + self._targets_wait_s + STORE_SLACK_S
+        patience_s = self.targets_rest_s + self._targets_wait_s + STORE_TIMEOUT_S
         self._targets_flow = StoreFlow("targets", patience_s)
         self.calls = 0
 
--- a/trackwheel/directory/revisions.py
+++ b/trackwheel/directory/revisions.py
@@ -20,11 +20,11 @@
     return revision >> _ERA_SHIFT
 
 
-def own_of(revision: int) -> int:
+def store_revision_of(revision: int) -> int:
     """Return the revision as the store itself has it."""
     return revision & ((1 << _ERA_SHIFT) - 1)
 
 
 def show_revision(revision: int) -> str:
     """Return a revision as logs have it."""
-    return f"{era_of(revision)}.{own_of(revision)}"
+    return f"{era_of(revision)}.{store_revision_of(revision)}"
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from trackwheel.clock import steady_now
-from trackwheel.directory.const import STORE_SLACK_S
+from trackwheel.directory.const import STORE_TIMEOUT_S
 from trackwheel.directory.models import DIRECTORY_MESSAGES
 from trackwheel.directory.service import DirectoryService
 from trackwheel.directory.targets import TargetDirectory
@@ -93,7 +93,7 @@
             seed=os.getpid(),
             watchers_per_domain=WATCHERS_PER_DOMAIN,
         )
-        self.store = StoreClient(settings.store, STORE_SLACK_S, self.log)
+        self.store = StoreClient(settings.store, STORE_TIMEOUT_S, self.log)
         self.directory = DirectoryService(
             self.hub,
             self.store,
--- a/trackwheel/platform/store.py
+++ b/trackwheel/platform/store.py
@@ -18,7 +18,7 @@
     TargetEntry,
     TargetsRead,
 )
-from trackwheel.directory.revisions import era_of, own_of
+from trackwheel.directory.revisions import era_of, store_revision_of
 from trackwheel.errors import Problem, TrackwheelError
 from trackwheel.http1.call import call_once
 from trackwheel.http1.models import Request, header
@@ -192,7 +192,7 @@
     ) -> Result[Events, TrackwheelError]:
         parameters = {
             "path_prefix": prefix,
-            "after": str(own_of(after)),
+            "after": str(store_revision_of(after)),
             "wait_ms": str(round(wait_s * MILLISECONDS)),
         }
         answer = await self._get(PATH_WATCH, parameters, wait_s)
