--- a/trackwheel/directory/held.py
+++ b/trackwheel/directory/held.py
@@ -26,7 +26,9 @@
 
     def turns_cold(self, entry: TargetEntry, now: float) -> bool:
         """Return whether by a newer entry the target stays cold for longer than was known."""
-        return entry.cold_s > 0.0 and now + entry.cold_s > self.cold_until + COLD_AGAIN_S
+        return (
+            entry.warmup_left_s > 0.0 and now + entry.warmup_left_s > self.cold_until + COLD_AGAIN_S
+        )
 
     def keeps_leaving(self, entry: TargetEntry) -> TargetEntry:
         """Return a newer entry, leaving if the target has said so before in this life.
--- a/trackwheel/directory/models.py
+++ b/trackwheel/directory/models.py
@@ -22,7 +22,7 @@
     failure_domain: str
     slots: int
     leaving: bool
-    cold_s: float
+    warmup_left_s: float
     revision: int
     born_ms: int = 0
     sequence: int = 0
--- a/trackwheel/directory/targets.py
+++ b/trackwheel/directory/targets.py
@@ -197,7 +197,7 @@
                 self._renew(held, entry)
                 return False
         self._gone_by_instance.pop(entry.instance, None)
-        self._hold(HeldTarget(entry, entry.revision, now + entry.cold_s))
+        self._hold(HeldTarget(entry, entry.revision, now + entry.warmup_left_s))
         return True
 
     def _judged(self, removal: EntryRemoved, now: float) -> EntryRemoved:
