--- a/tests/relay/test_lives.py
+++ b/tests/relay/test_lives.py
@@ -84,7 +84,7 @@
 def test_newest_life_is_known_in_any_order_of_news(order: tuple[int, ...]) -> None:
     directory = TargetDirectory({"a": "here"})
     for place in order:
-        directory.take(STEPS[place], 0.0)
+        directory.apply(STEPS[place], 0.0)
     directory.expire(100.0)
     (found,) = directory.targets_by_service()["s"]
     assert (found.born_ms, found.barred, found.doubtful) == (9_000, False, False)
@@ -94,8 +94,8 @@
 def test_life_that_follows_without_a_gap_is_news_for_peers() -> None:
     """The store saw no lapse: only `born` says that the target started again."""
     directory = TargetDirectory({"a": "here"})
-    directory.take(TargetsRead(None, [entry(1_000, 4)], [], 4), 0.0)
-    assert directory.take(TargetsRead(4, [entry(9_000, 5)], [], 5), 1.0)
+    directory.apply(TargetsRead(None, [entry(1_000, 4)], [], 4), 0.0)
+    assert directory.apply(TargetsRead(4, [entry(9_000, 5)], [], 5), 1.0)
     assert directory.changes(4, 1.0) == TargetsPush(4, 5, [entry(9_000, 5)], [])
 
 
@@ -106,7 +106,7 @@
 )
 def test_target_that_turns_cold_again_is_news(cold_s: float, is_news: bool) -> None:
     directory = TargetDirectory({"a": "here"})
-    directory.take(TargetsRead(None, [entry(1_000, 4, cold_s=3.0)], [], 4), 0.0)
-    assert directory.take(TargetsRead(4, [entry(1_000, 5, cold_s)], [], 5), 1.0) is is_news
+    directory.apply(TargetsRead(None, [entry(1_000, 4, cold_s=3.0)], [], 4), 0.0)
+    assert directory.apply(TargetsRead(4, [entry(1_000, 5, cold_s)], [], 5), 1.0) is is_news
     (found,) = directory.targets_by_service()["s"]
     assert found.cold_until == (4.0 if is_news else 3.0)
--- a/trackwheel/directory/service.py
+++ b/trackwheel/directory/service.py
@@ -163,7 +163,7 @@
     def take_targets(self, read: TargetsRead) -> int:
         """Take a reading or changes of the store; return the revision from which to watch on."""
         before = self._targets.newest
-        changed = self._targets.take(read, steady_now())
+        changed = self._targets.apply(read, steady_now())
         if changed:
             self._targets_changed("store")
         if changed or self._targets.newest > before:
@@ -192,7 +192,7 @@
             self._adopt(orders.table, zlib.compress(orders.content, PACK_LEVEL), "copy")
         # What a copy lacks may have been asked for since, so that it takes nothing back.
         self._take_evacuations(orders.evacuations, "copy")
-        if self._targets.take_copy(targets.entries, steady_now()):
+        if self._targets.apply_copy(targets.entries, steady_now()):
             self._targets_changed("copy")
 
     def _take_routes_push(self, sender: PeerIdentity, push: RoutesPush) -> None:
@@ -221,7 +221,7 @@
 
     def _take_targets_push(self, sender: PeerIdentity, push: TargetsPush) -> None:
         before = self._targets.newest
-        changed = self._targets.take_push(push, steady_now())
+        changed = self._targets.apply_push(push, steady_now())
         self._peer_flow.moved(self._how_far)
         if changed:
             self._targets_changed(sender.box_id)
--- a/trackwheel/directory/targets.py
+++ b/trackwheel/directory/targets.py
@@ -59,7 +59,7 @@
             self._store_away = False
             self._store_back_at = now
 
-    def take(self, read: TargetsRead, now: float) -> bool:
+    def apply(self, read: TargetsRead, now: float) -> bool:
         """Take news; return whether anything is another now."""
         self._note_era(read.as_of, now)
         changed = [self._note(self._merge(entry, now), entry.revision) for entry in read.entries]
@@ -75,7 +75,7 @@
         self._confirm(read.as_of)
         return any(changed)
 
-    def take_copy(self, entries: Iterable[TargetEntry], now: float) -> bool:
+    def apply_copy(self, entries: Iterable[TargetEntry], now: float) -> bool:
         """Take entries that may be old; return whether anything is another now.
 
         The copy's pages may be of different ages, so that nothing is known for sure up to any
@@ -83,7 +83,7 @@
         """
         return any([self._merge(entry, now) for entry in entries])
 
-    def take_push(self, push: TargetsPush, now: float) -> bool:
+    def apply_push(self, push: TargetsPush, now: float) -> bool:
         """Take news of a peer; return whether anything is another now."""
         self._note_era(push.newest, now)
         changed = [self._merge(entry, now) for entry in push.entries]
