--- a/bench/virtual_fleet.py
+++ b/bench/virtual_fleet.py
@@ -8,13 +8,13 @@
 from trackwheel.fleet.membership import Membership, Timing
 from trackwheel.fleet.models import (
     FLEET_MESSAGES,
+    LeavingTarget,
+    LeavingTargetsLearned,
     Member,
     MembersChanged,
-    NotesLearnt,
     Rejoined,
     Send,
     Status,
-    TargetNote,
 )
 from trackwheel.peers.codec import Codec
 
@@ -40,7 +40,7 @@
         self.cut: Cut = lambda sender, receiver: False
         self.stopped: set[str] = set()
         self.deaths: list[tuple[float, str, str]] = []
-        self.notes_by_box: dict[str, set[TargetNote]] = {}
+        self.notes_by_box: dict[str, set[LeavingTarget]] = {}
         self.rejoins: list[str] = []
         self.bytes_sent = 0
         self.count_bytes = False
@@ -103,7 +103,7 @@
                     for other in self.box_by_address:
                         if other not in seen and other not in self.stopped:
                             self.deaths.append((self.now, address, other))
-                case NotesLearnt(notes):
+                case LeavingTargetsLearned(notes):
                     self.notes_by_box.setdefault(address, set()).update(notes)
                 case Rejoined():
                     self.rejoins.append(address)
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bench.virtual_fleet import TIMING, VirtualFleet
-from trackwheel.fleet.models import Status, TargetNote
+from trackwheel.fleet.models import LeavingTarget, Status
 
 
 @pytest.mark.parametrize("count", [2, 3, 7, 40])
@@ -96,20 +96,20 @@
 def test_note_of_a_leaving_target_is_everywhere_within_one_probe_period(seed: int) -> None:
     """The load: a target leaves and its health page lies, so that only an answer told one box."""
     fleet = VirtualFleet(6, seed=seed)
-    note = TargetNote("127.0.0.1:9", "boot")
+    note = LeavingTarget("127.0.0.1:9", "boot")
     address = f"10.0.0.{seed % 6}:82"
     began = 10.0 + 0.37 * seed
     fleet.run(began)
-    fleet.perform(address, fleet.box_by_address[address].note_leaving_target(note, fleet.now))
+    fleet.perform(address, fleet.box_by_address[address].announce_leaving_target(note, fleet.now))
     fleet.run(began + TIMING.probe_period_s)
     assert all(note in fleet.notes_by_box.get(other, set()) for other in fleet.box_by_address)
 
 
 def test_notes_of_leaving_targets_reach_everyone_and_newcomers() -> None:
     fleet = VirtualFleet(7)
-    note = TargetNote("127.0.0.1:9", "boot")
+    note = LeavingTarget("127.0.0.1:9", "boot")
     box = fleet.box_by_address["10.0.0.0:82"]
-    fleet.perform("10.0.0.0:82", box.note_leaving_target(note, fleet.now))
+    fleet.perform("10.0.0.0:82", box.announce_leaving_target(note, fleet.now))
     fleet.run(fleet.now + 1.5)
     assert all(note in fleet.notes_by_box.get(address, set()) for address in fleet.box_by_address)
     fleet.start("10.0.0.9:82", 9, tuple(fleet.box_by_address))
--- a/trackwheel/app.py
+++ b/trackwheel/app.py
@@ -17,7 +17,7 @@
 from trackwheel.files.models import FILES_MESSAGES, InForce
 from trackwheel.files.service import FilesService
 from trackwheel.fleet.membership import Timing
-from trackwheel.fleet.models import FLEET_MESSAGES, Member, Status, TargetNote
+from trackwheel.fleet.models import FLEET_MESSAGES, LeavingTarget, Member, Status
 from trackwheel.fleet.service import FleetService
 from trackwheel.garbage import tune_garbage_collection
 from trackwheel.gateway.board import Board
@@ -187,7 +187,7 @@
     def _wire(self) -> None:
         self.fleet.on_members(self._take_members)
         self.fleet.on_revision(self.files.peer_revision)
-        self.fleet.on_notes(self._take_notes)
+        self.fleet.on_leaving_targets(self._take_notes)
         self.files.on_in_force(self._take_in_force)
 
     def _take_members(self, members: tuple[Member, ...]) -> None:
@@ -197,7 +197,7 @@
             self.fleet.near(), self.fleet.far_watchers(), tells_again=self.fleet.is_watcher()
         )
 
-    def _take_notes(self, notes: tuple[TargetNote, ...]) -> None:
+    def _take_notes(self, notes: tuple[LeavingTarget, ...]) -> None:
         self.dispatch.apply_leaving_report(notes)
         for note in notes:
             self.board.learn_leaving(note.address, steady_now())
--- a/trackwheel/dispatch/events.py
+++ b/trackwheel/dispatch/events.py
@@ -4,7 +4,7 @@
 
 from trackwheel.dispatch.models import Ended, ExecuteAsk, PermitReply, Scatter, Withdraw, Work
 from trackwheel.files.models import InForce
-from trackwheel.fleet.models import TargetNote
+from trackwheel.fleet.models import LeavingTarget
 
 
 class FromGateway(NamedTuple):
@@ -48,7 +48,7 @@
 class NotesLearnt(NamedTuple):
     """Event: targets are leaving, another box says."""
 
-    notes: tuple[TargetNote, ...]
+    notes: tuple[LeavingTarget, ...]
 
 
 Event = FromGateway | GatewayLost | HealthRead | Exchanged | InForceChanged | NotesLearnt
--- a/trackwheel/dispatch/owner.py
+++ b/trackwheel/dispatch/owner.py
@@ -19,7 +19,7 @@
 )
 from trackwheel.dispatch.wakes import Wakes
 from trackwheel.files.models import NOTHING_IN_FORCE, InForce, ServiceSpec
-from trackwheel.fleet.models import TargetNote
+from trackwheel.fleet.models import LeavingTarget
 
 
 class LineState(NamedTuple):
@@ -40,7 +40,7 @@
         self._in_force = NOTHING_IN_FORCE
         self._targets_by_service: dict[str, tuple[ServiceSpec, frozenset[str]]] = {}
         self._line_by_target: dict[str, TargetLine] = {}
-        self._note_by_target: dict[str, TargetNote] = {}
+        self._note_by_target: dict[str, LeavingTarget] = {}
         self._wakes = Wakes()
 
     def states(self, now: float) -> list[LineState]:
@@ -162,7 +162,7 @@
             return []
         return self._touched(line, line.health(reachable, boot, leaving, now))
 
-    def apply_leaving_report(self, notes: tuple[TargetNote, ...]) -> list[DispatchCommand]:
+    def apply_leaving_report(self, notes: tuple[LeavingTarget, ...]) -> list[DispatchCommand]:
         """Take reports of other boxes that targets are leaving."""
         commands: list[DispatchCommand] = []
         for note in notes:
--- a/trackwheel/dispatch/service.py
+++ b/trackwheel/dispatch/service.py
@@ -45,7 +45,7 @@
 )
 from trackwheel.dispatch.owner import LineState, Owner
 from trackwheel.files.models import InForce
-from trackwheel.fleet.models import TargetNote
+from trackwheel.fleet.models import LeavingTarget
 from trackwheel.inbox import Inbox
 from trackwheel.peers.hub import Hub
 from trackwheel.peers.models import PeerIdentity
@@ -64,7 +64,7 @@
         self,
         hub: Hub,
         client: TargetClient,
-        report_leaving: Callable[[TargetNote], None],
+        report_leaving: Callable[[LeavingTarget], None],
         guard: SendGuard,
         log: EventLog,
     ) -> None:
@@ -99,7 +99,7 @@
         """Take the files in force."""
         self._inbox.put(InForceChanged(in_force))
 
-    def apply_leaving_report(self, notes: tuple[TargetNote, ...]) -> None:
+    def apply_leaving_report(self, notes: tuple[LeavingTarget, ...]) -> None:
         """Take reports of other boxes that targets are leaving."""
         self._inbox.put(NotesLearnt(notes))
 
@@ -216,7 +216,7 @@
                         tasks.start_soon(self._exchanges.warm, target)
                 case ReportLeaving(target, boot):
                     LOG.info(f"Target {target} is leaving and gets no new work.")
-                    self._report_leaving(TargetNote(target, boot))
+                    self._report_leaving(LeavingTarget(target, boot))
 
     def _ask_permit(self, work: Work) -> None:
         key = work.key
--- a/trackwheel/fleet/membership.py
+++ b/trackwheel/fleet/membership.py
@@ -19,9 +19,10 @@
 from trackwheel.fleet.models import (
     Ack,
     FleetCommand,
+    LeavingTarget,
+    LeavingTargetsLearned,
     Member,
     MembersChanged,
-    NotesLearnt,
     PeerRevision,
     Probe,
     ProbeReport,
@@ -31,7 +32,6 @@
     Status,
     SyncReply,
     SyncRequest,
-    TargetNote,
 )
 from trackwheel.fleet.probes import Probes
 from trackwheel.fleet.rumours import Rumours
@@ -60,8 +60,8 @@
         self._table.merge(own)
         self._rumours: Rumours[str, Member] = Rumours(timing.rumour_sends)
         self._rumours.add(own.address, own)
-        self._note_rumours: Rumours[str, TargetNote] = Rumours(timing.rumour_sends)
-        self._note_expiry_by_note: dict[TargetNote, float] = {}
+        self._note_rumours: Rumours[str, LeavingTarget] = Rumours(timing.rumour_sends)
+        self._note_expiry_by_note: dict[LeavingTarget, float] = {}
         self._seeds: tuple[str, ...] = ()
         self._files_revision = 0
         self._sequence = 0
@@ -107,7 +107,7 @@
             self._send_probe(address)
         return self._flush()
 
-    def note_leaving_target(self, note: TargetNote, now: float) -> list[FleetCommand]:
+    def announce_leaving_target(self, note: LeavingTarget, now: float) -> list[FleetCommand]:
         """Tell the fleet that a target is leaving, the monitored members at once.
 
         Another box that may ask it sends it work until it hears this. With the next probes alone
@@ -216,7 +216,7 @@
         rumours, notes = self._take_rumours("")
         return Ack(sequence, self._own, self._table.digest, self._files_revision, rumours, notes)
 
-    def _take_rumours(self, address: str) -> tuple[list[Member], list[TargetNote]]:
+    def _take_rumours(self, address: str) -> tuple[list[Member], list[LeavingTarget]]:
         size = len(self._table.member_by_address)
         rumours = self._rumours.take(size)
         told = self._table.member_by_address.get(address)
@@ -248,13 +248,13 @@
         self._commands.append(PeerRevision(sender, message.files_revision))
         self._compare(sender, message.digest)
 
-    def _learn_notes(self, notes: list[TargetNote], now: float) -> None:
+    def _learn_notes(self, notes: list[LeavingTarget], now: float) -> None:
         fresh = tuple(note for note in notes if note not in self._note_expiry_by_note)
         for note in fresh:
             self._note_expiry_by_note[note] = now + NOTE_LIFETIME_S
             self._note_rumours.add(note.address, note)
         if fresh:
-            self._commands.append(NotesLearnt(fresh))
+            self._commands.append(LeavingTargetsLearned(fresh))
 
     def _compare(self, sender: str, digest: int) -> None:
         """Ask for the records that differ when a difference lasts longer than rumours do."""
--- a/trackwheel/fleet/models.py
+++ b/trackwheel/fleet/models.py
@@ -29,7 +29,7 @@
     speed: float = 1.0
 
 
-class TargetNote(NamedTuple):
+class LeavingTarget(NamedTuple):
     """Say that a target, in one boot of it, is leaving and takes no new work."""
 
     address: str
@@ -44,7 +44,7 @@
     digest: int
     files_revision: int
     rumours: list[Member]
-    notes: list[TargetNote]
+    notes: list[LeavingTarget]
 
 
 class Ack(NamedTuple):
@@ -55,7 +55,7 @@
     digest: int
     files_revision: int
     rumours: list[Member]
-    notes: list[TargetNote]
+    notes: list[LeavingTarget]
 
 
 class ProbeRequest(NamedTuple):
@@ -77,7 +77,7 @@
 
     sender: Member
     bucket_digests: list[int]
-    notes: list[TargetNote]
+    notes: list[LeavingTarget]
 
 
 class SyncReply(NamedTuple):
@@ -85,7 +85,7 @@
 
     members: list[Member]
     wanted_buckets: list[int]
-    notes: list[TargetNote]
+    notes: list[LeavingTarget]
 
 
 FLEET_MESSAGES = (Probe, Ack, ProbeRequest, ProbeReport, SyncRequest, SyncReply)
@@ -111,10 +111,10 @@
     revision: int
 
 
-class NotesLearnt(NamedTuple):
+class LeavingTargetsLearned(NamedTuple):
     """Command: tell the other duties of targets that are leaving."""
 
-    notes: tuple[TargetNote, ...]
+    notes: tuple[LeavingTarget, ...]
 
 
 class Rejoined(NamedTuple):
@@ -123,4 +123,4 @@
     away_s: float
 
 
-FleetCommand = Send | MembersChanged | PeerRevision | NotesLearnt | Rejoined
+FleetCommand = Send | MembersChanged | PeerRevision | LeavingTargetsLearned | Rejoined
--- a/trackwheel/fleet/service.py
+++ b/trackwheel/fleet/service.py
@@ -21,14 +21,14 @@
 from trackwheel.fleet.models import (
     FLEET_MESSAGES,
     FleetCommand,
+    LeavingTarget,
+    LeavingTargetsLearned,
     Member,
     MembersChanged,
-    NotesLearnt,
     PeerRevision,
     Rejoined,
     Send,
     Status,
-    TargetNote,
 )
 from trackwheel.fleet.ownership import OwnerMap, may_own, reachable_members
 from trackwheel.inbox import Inbox
@@ -68,7 +68,7 @@
         self._unreachable_until_by_address: dict[str, float] = {}
         self._on_members: list[Callable[[tuple[Member, ...]], None]] = []
         self._on_revision: list[Callable[[str, int], None]] = []
-        self._on_notes: list[Callable[[tuple[TargetNote, ...]], None]] = []
+        self._on_leaving_targets: list[Callable[[tuple[LeavingTarget, ...]], None]] = []
         self.members: tuple[Member, ...] = (own,)
         self._member_by_address = {own.address: own}
         self.own = own
@@ -90,9 +90,9 @@
         """Call a handler with each revision that a peer says it has in force."""
         self._on_revision.append(handler)
 
-    def on_notes(self, handler: Callable[[tuple[TargetNote, ...]], None]) -> None:
+    def on_leaving_targets(self, handler: Callable[[tuple[LeavingTarget, ...]], None]) -> None:
         """Call a handler with targets that are leaving."""
-        self._on_notes.append(handler)
+        self._on_leaving_targets.append(handler)
 
     def set_files_revision(self, revision: int) -> None:
         """Take the revision that this box has in force."""
@@ -102,9 +102,9 @@
         """Say to the fleet that this box is leaving."""
         self._inbox.put(lambda now: self._membership.leave())
 
-    def report_leaving(self, note: TargetNote) -> None:
+    def report_leaving(self, note: LeavingTarget) -> None:
         """Tell the fleet that a target is leaving."""
-        self._inbox.put(lambda now: self._membership.note_leaving_target(note, now))
+        self._inbox.put(lambda now: self._membership.announce_leaving_target(note, now))
 
     def boot_address(self, boot: str) -> str | None:
         """Return the address of the member with a boot, None when there is none."""
@@ -214,9 +214,9 @@
                 case PeerRevision(address, revision):
                     for on_revision in self._on_revision:
                         on_revision(address, revision)
-                case NotesLearnt(notes):
-                    for on_notes in self._on_notes:
-                        on_notes(notes)
+                case LeavingTargetsLearned(notes):
+                    for on_leaving_targets in self._on_leaving_targets:
+                        on_leaving_targets(notes)
                 case Rejoined(away_s):
                     self.rejoins += 1
                     LOG.warning(f"This box was away for {away_s:.1f} s. It joins again.")
