--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -338,7 +338,7 @@
         state["change"] += 1
         number = 1 + state["change"] % (members - 1)
         fleet[number] = fleet[number]._replace(incarnation=state["change"] + 1)
-        service.take_members(tuple(fleet))
+        service.apply_members(tuple(fleet))
 
     return work
 
--- a/trackwheel/directory/service.py
+++ b/trackwheel/directory/service.py
@@ -115,14 +115,14 @@
         return self._peer_flow.goes_by(now)
 
     def set_peers(
-        self, before: Sequence[str], near: Iterable[str], far_watchers: Iterable[str]
+        self, before: Sequence[str], domain_peers: Iterable[str], remote_watchers: Iterable[str]
     ) -> None:
         """Take who comes before this box as a watcher, whom it passes news on to, whom it tells.
 
         Watchers of other domains read the store too; one that cannot asks for what it lacks.
         """
         self._election.set_boxes_before(before)
-        self._telling.set_peers(near, far_watchers)
+        self._telling.set_peers(domain_peers, remote_watchers)
 
     def peer_version(self, address: str, version: int) -> None:
         """Take the version that a peer, often in another region, says it has in force.
@@ -180,7 +180,7 @@
             as_of=show_revision(read.as_of),
             entries=len(read.entries),
             gone=len(read.removed),
-            peers=self._telling.near,
+            peers=self._telling.domain_peers,
             told_after=show_revision(push.since),
             told_newest=show_revision(push.newest),
             told=len(push.entries) + len(push.removed),
--- a/trackwheel/directory/telling.py
+++ b/trackwheel/directory/telling.py
@@ -39,25 +39,25 @@
         self._log = log
         self._goes_by = goes_by
         self._beacon = beacon
-        self._near: tuple[str, ...] = ()
-        self._far_watchers: tuple[str, ...] = ()
+        self._domain_peers: tuple[str, ...] = ()
+        self._remote_watchers: tuple[str, ...] = ()
         self._watched = False
         self._beacon_at = 0.0
         self._told_goes_by = ""
 
     @property
-    def near(self) -> int:
+    def domain_peers(self) -> int:
         """Return how many boxes nearby news are passed on to."""
-        return len(self._near)
+        return len(self._domain_peers)
 
-    def set_peers(self, near: Iterable[str], far_watchers: Iterable[str]) -> None:
+    def set_peers(self, domain_peers: Iterable[str], remote_watchers: Iterable[str]) -> None:
         """Take the boxes nearby, and those that read the store in other failure domains."""
-        self._near = tuple(near)
-        self._far_watchers = tuple(far_watchers)
+        self._domain_peers = tuple(domain_peers)
+        self._remote_watchers = tuple(remote_watchers)
 
     def pass_on(self, news: News) -> None:
         """Pass on what this box has read of the store."""
-        self._send(news, self._near)
+        self._send(news, self._domain_peers)
 
     def tell_near(self, news: News) -> None:
         """Pass on what another box has told, while this one reads the store for those nearby."""
@@ -83,7 +83,7 @@
             return
         self._beacon_at = now + BEACON_PERIOD_S - LOOK_PERIOD_S / 2
         self._told_goes_by = goes_by
-        self._send(self._beacon(now), self._near + self._far_watchers)
+        self._send(self._beacon(now), self._domain_peers + self._remote_watchers)
 
     def _note_watching(self, watches: bool) -> None:
         """Note when this box begins and ends to read the store."""
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -182,10 +182,10 @@
 
     def _take_members(self, members: tuple[Member, ...]) -> None:
         own = self.fleet.own
-        near, far_watchers = self.fleet.near(), self.fleet.far_watchers()
-        before = self.fleet.watchers_before(own)
-        self.directory.set_peers(before, near, far_watchers)
-        self.quarantine.set_boxes(near, far_watchers, tells_again=not before)
+        domain_peers, remote_watchers = self.fleet.domain_peers(), self.fleet.remote_watchers()
+        before = self.fleet.watcher_predecessors(own)
+        self.directory.set_peers(before, domain_peers, remote_watchers)
+        self.quarantine.set_boxes(domain_peers, remote_watchers, tells_again=not before)
         boxes = [
             PeerBox(m.address, Place(m.region, m.failure_domain), m.speed)
             for m in members
--- a/trackwheel/fleet/service.py
+++ b/trackwheel/fleet/service.py
@@ -125,7 +125,7 @@
 
     def is_watcher(self) -> bool:
         """Return whether this box is one of the few in its domain that watch the store."""
-        return not self.watchers_before(self.own)
+        return not self.watcher_predecessors(self.own)
 
     def watchers(self) -> tuple[Member, ...]:
         """Return the boxes that watch the store, as seen from here."""
@@ -145,7 +145,7 @@
             <= last_place_by_domain.get(member.failure_domain, LAST_PLACE)
         )
 
-    def near(self) -> list[str]:
+    def domain_peers(self) -> list[str]:
         """Return the other boxes of the own failure domain."""
         domain = self.own.failure_domain
         return [
@@ -154,12 +154,12 @@
             if member.failure_domain == domain and member.address != self.own.address
         ]
 
-    def far_watchers(self) -> list[str]:
+    def remote_watchers(self) -> list[str]:
         """Return the boxes of other failure domains that watch the store, as seen from here."""
         domain = self.own.failure_domain
         return [member.address for member in self.watchers() if member.failure_domain != domain]
 
-    def watchers_before(self, subject: Member) -> list[str]:
+    def watcher_predecessors(self, subject: Member) -> list[str]:
         """Return the boxes of a member's domain that come before it as watchers.
 
         None for those that watch the store themselves; a box that leaves watches to its end.
@@ -210,7 +210,7 @@
                 case Send(address, message):
                     self._hub.send(address, message)
                 case MembersChanged(members):
-                    self.take_members(members)
+                    self.apply_members(members)
                 case PeerRevision(address, revision):
                     for on_revision in self._on_revision:
                         on_revision(address, revision)
@@ -221,7 +221,7 @@
                     self.rejoins += 1
                     LOG.warning(f"This box was away for {away_s:.1f} s. It joins again.")
 
-    def take_members(self, members: tuple[Member, ...]) -> None:
+    def apply_members(self, members: tuple[Member, ...]) -> None:
         """Take the view of the fleet as it is now and tell the other duties."""
         self._log_changes(members)
         self.members = members
