--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -548,7 +548,7 @@
         MEMBERS + "test_frozen_box_is_gone_then_returns_as_itself",
         Mutant(
             "trackwheel/fleet/membership.py",
-            "        self._commands.append(Rejoined(away_s))\n",
+            "        self._commands.append(Rejoined(paused_s))\n",
             "",
         ),
     ),
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -74,4 +74,4 @@
     suspend()
     commands = membership.tick(steady_now())
     (rejoined,) = [command for command in commands if isinstance(command, Rejoined)]
-    assert rejoined.away_s >= SUSPENDED_S
+    assert rejoined.paused_s >= SUSPENDED_S
--- a/trackwheel/entry/const.py
+++ b/trackwheel/entry/const.py
@@ -5,7 +5,7 @@
 from trackwheel.fleet.membership import Timing
 from trackwheel.routing.models import Limits
 
-TIMING: Final = Timing(2.0, 0.5, 1.5, rumour_sends=1)
+TIMING: Final = Timing(2.0, 0.5, 1.5, gossip_sends=1)
 """Probe period, wait for its answer, suspicion (seconds) and tellings of rumours of the membership.
 
 Requests go around a peer that shows no life after 40 ms, whatever the membership says, so that
--- a/trackwheel/fleet/membership.py
+++ b/trackwheel/fleet/membership.py
@@ -46,7 +46,7 @@
     probe_period_s: float
     probe_timeout_s: float
     suspicion_s: float
-    rumour_sends: int = RUMOUR_SENDS_PER_DOUBLING
+    gossip_sends: int = RUMOUR_SENDS_PER_DOUBLING
 
 
 class Membership:
@@ -58,9 +58,9 @@
         self._random = random.Random(seed)
         self._table = MemberTable()
         self._table.merge(own)
-        self._rumours: Rumours[str, Member] = Rumours(timing.rumour_sends)
+        self._rumours: Rumours[str, Member] = Rumours(timing.gossip_sends)
         self._rumours.add(own.address, own)
-        self._note_rumours: Rumours[str, LeavingTarget] = Rumours(timing.rumour_sends)
+        self._note_rumours: Rumours[str, LeavingTarget] = Rumours(timing.gossip_sends)
         self._note_expiry_by_note: dict[LeavingTarget, float] = {}
         self._seeds: tuple[str, ...] = ()
         self._files_revision = 0
@@ -178,8 +178,8 @@
         """Forget what was under way when this box was frozen, and come back as new."""
         if self._last_tick is None:
             return
-        away_s = now - self._last_tick
-        if away_s <= AWAY_FACTOR * self._timing.probe_period_s + self._timing.probe_timeout_s:
+        paused_s = now - self._last_tick
+        if paused_s <= AWAY_FACTOR * self._timing.probe_period_s + self._timing.probe_timeout_s:
             return
         self._last_tick = now
         self._probes.clear()
@@ -187,7 +187,7 @@
             address: now + self._timing.suspicion_s for address in self._suspected_until_by_address
         }
         self._renew_own(self._own.status, self._own.incarnation + 1)
-        self._commands.append(Rejoined(away_s))
+        self._commands.append(Rejoined(paused_s))
 
     def _renew_own(self, status: Status, incarnation: int) -> None:
         self._own = self._own._replace(status=status, incarnation=incarnation)
--- a/trackwheel/fleet/models.py
+++ b/trackwheel/fleet/models.py
@@ -120,7 +120,7 @@
 class Rejoined(NamedTuple):
     """Command: tell the other duties that this box was away (seconds)."""
 
-    away_s: float
+    paused_s: float
 
 
 FleetCommand = Send | MembersChanged | PeerRevision | LeavingTargetsLearned | Rejoined
--- a/trackwheel/fleet/service.py
+++ b/trackwheel/fleet/service.py
@@ -217,9 +217,9 @@
                 case LeavingTargetsLearned(notes):
                     for on_leaving_targets in self._on_leaving_targets:
                         on_leaving_targets(notes)
-                case Rejoined(away_s):
+                case Rejoined(paused_s):
                     self.rejoins += 1
-                    LOG.warning(f"This box was away for {away_s:.1f} s. It joins again.")
+                    LOG.warning(f"This box was away for {paused_s:.1f} s. It joins again.")
 
     def apply_members(self, members: tuple[Member, ...]) -> None:
         """Take the view of the fleet as it is now and tell the other duties."""
