--- a/tests/directory/test_in_step.py
+++ b/tests/directory/test_in_step.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "moved", "now", "goes_by"),
+    ("heard", "moved", "now", "synced_via"),
     [
         pytest.param([("a", 3, 10, 0.0)], [], 0.1, "a", id="level-with-a-peer"),
         pytest.param([("a", 3, 9, 0.0)], [], 0.1, "a", id="further-than-a-peer"),
@@ -84,11 +84,11 @@
     ],
 )
 def test_box_is_in_step_with_a_peer_that_it_has_caught_up_with(
-    heard: list[tuple[str, int, int, float]], moved: list[HowFar], now: float, goes_by: str
+    heard: list[tuple[str, int, int, float]], moved: list[HowFar], now: float, synced_via: str
 ) -> None:
     flow = PeerFlow()
     for address, version, newest, at in heard:
         flow.heard(address, version, newest, at, HERE)
     for how_far in moved:
         flow.moved(how_far)
-    assert flow.goes_by(now) == goes_by
+    assert flow.synced_via(now) == synced_via
--- a/tests/directory/test_store_outage.py
+++ b/tests/directory/test_store_outage.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from trackwheel.directory.const import BEACON_PERIOD_S, RETRY_LONGEST_S, UNHEARD_S
+from trackwheel.directory.const import BEACON_PERIOD_S, RETRY_LONGEST_S, TAKEOVER_DELAY_S
 from trackwheel.directory.in_step import HowFar, PeerFlow, StoreFlow
 from trackwheel.directory.watcher_election import WatcherElection
 
@@ -32,14 +32,14 @@
         self.place = place
         self.first = place == 0
         self.election = WatcherElection(0.0, self.address, place == 0)
-        self.election.set_boxes_before(before)
+        self.election.set_predecessors(before)
         self.flow = StoreFlow("routes", WATCH_S + 1.0)
         self.peer_flow = PeerFlow()
         self.next_call_at = 0.0
         self.next_beacon_at = 0.0
         self.calls_at: list[float] = []
-        self.told = ""
-        self.told_ago_s = 0.0
+        self.synced_via = ""
+        self.synced_ago_s = 0.0
         self.in_step_at = 0.0
         self.longest_silence_s = 0.0
         """Longest time without a word of a box in step, or an answer, while the box ran."""
@@ -47,11 +47,11 @@
         self.longest_unanswered_s = 0.0
         """Longest time since the store answered this box, or one whose news had come here."""
 
-    def goes_by(self, now: float) -> str:
-        return self.address if self.flow.in_step(now) else self.peer_flow.goes_by(now)
+    def current_source(self, now: float) -> str:
+        return self.address if self.flow.in_step(now) else self.peer_flow.synced_via(now)
 
     def note(self, now: float) -> None:
-        if self.goes_by(now):
+        if self.current_source(now):
             self.in_step_at = now
         self.longest_silence_s = max(self.longest_silence_s, now - self.in_step_at)
         unanswered_s = now - self.answered_at
@@ -70,10 +70,12 @@
     def hear(self, sender: "Box", now: float) -> None:
         self.answered_at = max(self.answered_at, sender.answered_at)
         if sender.domain == self.domain:
-            self.election.heard(sender.address, sender.told, now, sender.told_ago_s)
-            if sender.told:
+            self.election.receive_beacon(
+                sender.address, sender.synced_via, now, sender.synced_ago_s
+            )
+            if sender.synced_via:
                 self.in_step_at = now
-        if sender.told == sender.address:
+        if sender.synced_via == sender.address:
             self.peer_flow.heard(sender.address, 1, 1, now, HowFar(1, 1))
 
 
@@ -97,7 +99,7 @@
                 box.in_step_at = now
                 continue
             box.note(now)
-            if not box.election.watches(now):
+            if not box.election.should_watch(now):
                 continue
             stands = box.flow.in_step(now)
             if now >= box.next_call_at or (resets and stands and not reaches(box, now)):
@@ -105,11 +107,11 @@
             elif stands and reaches(box, now):
                 # It would tell of a change at once.
                 box.answered_at = now
-            goes_by = box.goes_by(now)
-            if now >= box.next_beacon_at or bool(goes_by) is not bool(box.told):
+            current_source = box.current_source(now)
+            if now >= box.next_beacon_at or bool(current_source) is not bool(box.synced_via):
                 box.next_beacon_at = now + BEACON_PERIOD_S
-                box.told = goes_by
-                box.told_ago_s = 0.0 if box.flow.in_step(now) else box.peer_flow.ago_s(now)
+                box.synced_via = current_source
+                box.synced_ago_s = 0.0 if box.flow.in_step(now) else box.peer_flow.ago_s(now)
                 near = [other for other in boxes if other.domain == box.domain]
                 far = [other for other in boxes if other.first and other.domain != box.domain]
                 for other in near + far:
@@ -146,7 +148,7 @@
     end = SETTLED_S + lasts_s + 2.0
     boxes = play(per_domain, outage.reaches, outage.alive, end)
     callers = {box.address for box in boxes if any(at >= SETTLED_S for at in box.calls_at)}
-    allowed = 2 + ceil(log2(max(1.0, (lasts_s + 1.0) / UNHEARD_S)))
+    allowed = 2 + ceil(log2(max(1.0, (lasts_s + 1.0) / TAKEOVER_DELAY_S)))
     assert len(callers) <= DOMAINS * allowed
     for box in boxes:
         assert end - box.in_step_at <= BEACON_PERIOD_S + STEP_S
--- a/tests/directory/test_watcher_election.py
+++ b/tests/directory/test_watcher_election.py
@@ -4,26 +4,31 @@
 
 import pytest
 
-from trackwheel.directory.const import SILENT_STEP_S, START_SETTLE_S, START_WAIT_S, UNHEARD_S
+from trackwheel.directory.const import (
+    START_PEER_WAIT_S,
+    START_SETTLE_S,
+    TAKEOVER_DELAY_S,
+    TAKEOVER_STEP_S,
+)
 from trackwheel.directory.watcher_election import WatcherElection
 
 OWN = "own"
 
 
-class Word(NamedTuple):
-    """What a box that reads says: by whose reading it goes."""
+class Beacon(NamedTuple):
+    """A beacon of a box that reads, with the box through which it is in sync."""
 
     at: float
     address: str
-    goes_by: str
+    synced_via: str
 
 
-def in_step(at: float, address: str = "w") -> Word:
-    return Word(at, address, address)
+def in_sync(at: float, address: str = "w") -> Beacon:
+    return Beacon(at, address, address)
 
 
-def in_vain(at: float, address: str = "w") -> Word:
-    return Word(at, address, "")
+def failing(at: float, address: str = "w") -> Beacon:
+    return Beacon(at, address, "")
 
 
 @pytest.mark.parametrize(
@@ -31,63 +36,68 @@
     [
         pytest.param(True, ["w"], [], 0.0, True, id="seed-reads-at-once"),
         pytest.param(False, ["w"], [], 0.0, False, id="others-wait-for-peers"),
-        pytest.param(False, ["w"], [], START_WAIT_S, True, id="but-not-for-long"),
-        pytest.param(True, ["w"], [in_step(0.1)], 0.2, False, id="trusts-a-watcher-in-step"),
+        pytest.param(False, ["w"], [], START_PEER_WAIT_S, True, id="but-not-for-long"),
+        pytest.param(True, ["w"], [in_sync(0.1)], 0.2, False, id="trusts-a-watcher-in-step"),
         pytest.param(
-            True, ["w"], [Word(0.1, "w", "far")], 0.2, False, id="trusts-one-that-goes-by-another"
+            True, ["w"], [Beacon(0.1, "w", "far")], 0.2, False, id="trusts-one-that-goes-by-another"
         ),
-        pytest.param(True, ["w"], [Word(0.1, "w", OWN)], 0.2, True, id="not-one-that-goes-by-it"),
-        pytest.param(True, ["w"], [in_vain(0.1)], 0.2, True, id="not-one-out-of-step"),
-        pytest.param(True, [], [in_step(0.1)], 0.2, True, id="watcher-reads-always"),
+        pytest.param(True, ["w"], [Beacon(0.1, "w", OWN)], 0.2, True, id="not-one-that-goes-by-it"),
+        pytest.param(True, ["w"], [failing(0.1)], 0.2, True, id="not-one-out-of-step"),
+        pytest.param(True, [], [in_sync(0.1)], 0.2, True, id="watcher-reads-always"),
         pytest.param(False, [], [], START_SETTLE_S / 2, False, id="alone-at-first-like-all"),
         pytest.param(False, [], [], START_SETTLE_S, True, id="alone-in-truth"),
         pytest.param(
-            True, ["w"], [in_step(0.1)], 0.1 + UNHEARD_S, True, id="reads-when-watchers-fall-silent"
+            True,
+            ["w"],
+            [in_sync(0.1)],
+            0.1 + TAKEOVER_DELAY_S,
+            True,
+            id="reads-when-watchers-fall-silent",
         ),
         pytest.param(
             True,
             ["w"],
-            [in_step(0.1), in_vain(1.0), in_vain(2.0)],
-            0.1 + UNHEARD_S,
+            [in_sync(0.1), failing(1.0), failing(2.0)],
+            0.1 + TAKEOVER_DELAY_S,
             True,
             id="reads-when-the-store-turned-the-watcher-away",
         ),
         pytest.param(
             True,
             ["w", "x"],
-            [in_step(0.1)],
-            0.1 + UNHEARD_S + SILENT_STEP_S / 2,
+            [in_sync(0.1)],
+            0.1 + TAKEOVER_DELAY_S + TAKEOVER_STEP_S / 2,
             False,
             id="a-silent-box-before-it-has-its-turn",
         ),
         pytest.param(
             True,
             ["w", "x"],
-            [in_step(0.1)],
-            0.1 + UNHEARD_S + SILENT_STEP_S,
+            [in_sync(0.1)],
+            0.1 + TAKEOVER_DELAY_S + TAKEOVER_STEP_S,
             True,
             id="and-is-passed-over-after-a-step",
         ),
         pytest.param(
             True,
             ["w", "x"],
-            [in_step(0.1), in_vain(1.6), in_vain(2.1, "x"), in_vain(2.6), in_vain(2.6, "x")],
-            0.1 + 2 * UNHEARD_S - 0.1,
+            [in_sync(0.1), failing(1.6), failing(2.1, "x"), failing(2.6), failing(2.6, "x")],
+            0.1 + 2 * TAKEOVER_DELAY_S - 0.1,
             False,
             id="waits-longer-while-two-read-in-vain",
         ),
         pytest.param(
             True,
             ["w", "x"],
-            [in_step(0.0), in_vain(3.6), in_vain(3.6, "x")],
-            2 * UNHEARD_S,
+            [in_sync(0.0), failing(3.6), failing(3.6, "x")],
+            2 * TAKEOVER_DELAY_S,
             True,
             id="then-reads-too",
         ),
         pytest.param(
             True,
             ["w"],
-            [in_step(0.1), in_step(1.9, "after")],
+            [in_sync(0.1), in_sync(1.9, "after")],
             3.1,
             False,
             id="trusts-a-box-after-it-before-it-reads",
@@ -95,21 +105,21 @@
     ],
 )
 def test_few_boxes_read_the_store(
-    first: bool, before: list[str], words: list[Word], now: float, watches: bool
+    first: bool, before: list[str], words: list[Beacon], now: float, watches: bool
 ) -> None:
     election = WatcherElection(0.0, OWN, first)
-    election.set_boxes_before(before)
+    election.set_predecessors(before)
     for word in words:
-        election.heard(word.address, word.goes_by, word.at)
-    assert election.watches(now) is watches
+        election.receive_beacon(word.address, word.synced_via, word.at)
+    assert election.should_watch(now) is watches
 
 
 def test_box_that_reads_leaves_that_only_to_one_before_it() -> None:
     """Two boxes that read and heard of each other both stopped, and nobody read for two seconds."""
     election = WatcherElection(0.0, OWN, True)
-    election.set_boxes_before(["w"])
-    assert election.watches(0.0)
-    election.heard("after", "after", 0.1)
-    assert election.watches(0.2)
-    election.heard("w", "w", 0.3)
-    assert not election.watches(0.4)
+    election.set_predecessors(["w"])
+    assert election.should_watch(0.0)
+    election.receive_beacon("after", "after", 0.1)
+    assert election.should_watch(0.2)
+    election.receive_beacon("w", "w", 0.3)
+    assert not election.should_watch(0.4)
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -912,7 +912,9 @@
         "the store goes for all boxes, at 6 to 198 of them",
         OUTAGE + "test_boxes_that_call_a_store_that_is_away_do_not_grow_with_the_fleet",
         Mutant(
-            "trackwheel/directory/watcher_election.py", "UNHEARD_S * 2.0**doublings", "UNHEARD_S"
+            "trackwheel/directory/watcher_election.py",
+            "TAKEOVER_DELAY_S * 2.0**doublings",
+            "TAKEOVER_DELAY_S",
         ),
     ),
     Row(
@@ -1094,7 +1096,7 @@
         IN_FORCE,
         "watchers fall silent, or the store turns them away",
         WATCHING + "test_few_boxes_read_the_store",
-        Mutant("trackwheel/directory/watcher_election.py", "if not goes_by:", "if False:"),
+        Mutant("trackwheel/directory/watcher_election.py", "if not synced_via:", "if False:"),
     ),
     Row(
         PLATFORM,
@@ -1454,7 +1456,7 @@
         "test_next_boxes_read_in_time_when_all_watchers_lose_the_store_at_once",
         Mutant(
             "trackwheel/directory/watcher_election.py",
-            "max(self._trusted_at, now - ago_s)",
+            "max(self._trusted_at, now - synced_ago_s)",
             "now",
         ),
     ),
--- a/trackwheel/directory/const.py
+++ b/trackwheel/directory/const.py
@@ -23,9 +23,9 @@
 """How often watchers say how far they are; a push that was lost heals within one period."""
 BEACON_LIFETIME_S: Final = 1.5
 """How long a watcher's word counts: two of three beacons may be lost."""
-UNHEARD_S: Final = 2.0
+TAKEOVER_DELAY_S: Final = 2.0
 """After so long without word from a box in step, the next box reads the store itself."""
-SILENT_STEP_S: Final = 0.3
+TAKEOVER_STEP_S: Final = 0.3
 """How much later the box after it begins. Within it, the first one's word that it reads has come:
 two looks, and the way between two boxes of a failure domain."""
 START_SETTLE_S: Final = 0.6
@@ -34,7 +34,7 @@
 Its peers are known after some 0.1 s, and a watcher's word comes within half a second. Where all
 boxes start at once, each thinks that it is alone and read everything anew: 1,180 of 1,509 calls of
 a day on 195 boxes that were lost once."""
-START_WAIT_S: Final = 1.5
+START_PEER_WAIT_S: Final = 1.5
 """How long a box that starts waits for its peers before it reads the store itself."""
 GONE_HOLD_S: Final = 1.5
 """How long a target whose entry went without notice is still used as a last resort."""
--- a/trackwheel/directory/in_step.py
+++ b/trackwheel/directory/in_step.py
@@ -112,7 +112,7 @@
         if ahead is not None and own.reaches(ahead.routes_version, ahead.targets_newest):
             self._address, self._level_at, self._ahead = ahead.address, ahead.heard_at, None
 
-    def goes_by(self, now: float) -> str:
+    def synced_via(self, now: float) -> str:
         """Return the peer whom this box has caught up with lately, empty when there is none."""
         return self._address if self.ago_s(now) < BEACON_LIFETIME_S else ""
 
--- a/trackwheel/directory/models.py
+++ b/trackwheel/directory/models.py
@@ -124,10 +124,10 @@
 
     routes_version: int
     targets_newest: int
-    goes_by: str
+    synced_via: str
     evacuations: list[Evacuation] = []
     targets_digest: int = 0
-    heard_ago_s: float = 0.0
+    synced_ago_s: float = 0.0
 
 
 class DirectoryAsk(NamedTuple):
--- a/trackwheel/directory/reading.py
+++ b/trackwheel/directory/reading.py
@@ -88,7 +88,7 @@
 
     async def _start_from_copy(self) -> None:
         """Serve by a copy of the store until a watcher is heard of, or this box reads itself."""
-        if not self._election.settles(steady_now()):
+        if not self._election.is_starting(steady_now()):
             return
         self.calls += 2
         orders = await self._source.read_operator_state(copy=True)
@@ -163,7 +163,7 @@
         While the store answers neither watch, the orders' one alone tries: one call tells as much
         as two.
         """
-        if not self._election.watches(steady_now()):
+        if not self._election.should_watch(steady_now()):
             return False
         return flow is self._orders_flow or not (flow.lost and self._orders_flow.lost)
 
--- a/trackwheel/directory/service.py
+++ b/trackwheel/directory/service.py
@@ -65,7 +65,7 @@
         self._lag = Lag(self._reader.targets_rest_s)
         self._peer_flow = PeerFlow()
         self._agreement = Agreement(2 * self._reader.targets_rest_s)
-        self._telling = PeerTelling(hub, election, log, self.goes_by, self._beacon)
+        self._telling = PeerTelling(hub, election, log, self.synced_via, self._beacon)
         self._on_routes: list[Callable[[RouteTable], None]] = []
         self._on_targets: list[Callable[[dict[str, tuple[Target, ...]]], None]] = []
         self.table: RouteTable | None = None
@@ -108,11 +108,11 @@
         """Call a handler with the targets whenever they are others."""
         self._on_targets.append(handler)
 
-    def goes_by(self, now: float) -> str:
+    def synced_via(self, now: float) -> str:
         """Return the box by whose reading of the store this one is in step, or nothing."""
         if self._reader.in_step(now):
             return self._own_address
-        return self._peer_flow.goes_by(now)
+        return self._peer_flow.synced_via(now)
 
     def set_peers(
         self, before: Sequence[str], domain_peers: Iterable[str], remote_watchers: Iterable[str]
@@ -121,7 +121,7 @@
 
         Watchers of other domains read the store too; one that cannot asks for what it lacks.
         """
-        self._election.set_boxes_before(before)
+        self._election.set_predecessors(before)
         self._telling.set_peers(domain_peers, remote_watchers)
 
     def peer_version(self, address: str, version: int) -> None:
@@ -130,7 +130,7 @@
         Its targets are asked for only while no watcher is heard from: one near sends them too.
         """
         if version > self.version:
-            unheard = self._election.watches(steady_now()) and not self.synced
+            unheard = self._election.should_watch(steady_now()) and not self.synced
             self._ask(address, targets_wanted=unheard)
 
     async def run(self) -> None:
@@ -232,8 +232,10 @@
         self._take_evacuations(beacon.evacuations, sender.box_id)
         now = steady_now()
         if sender.failure_domain == self._hub.identity.failure_domain:
-            self._election.heard(sender.address, beacon.goes_by, now, beacon.heard_ago_s)
-        if beacon.goes_by == sender.address:
+            self._election.receive_beacon(
+                sender.address, beacon.synced_via, now, beacon.synced_ago_s
+            )
+        if beacon.synced_via == sender.address:
             self._peer_flow.heard(
                 sender.address, beacon.routes_version, beacon.targets_newest, now, self._how_far
             )
@@ -247,7 +249,7 @@
 
         A box that reads it itself has no need to: what it holds is what the store answered.
         """
-        if beacon.goes_by != sender.address or self.synced:
+        if beacon.synced_via != sender.address or self.synced:
             return
         if beacon.targets_newest != self._targets.newest:
             self._agreement.moved()
@@ -309,15 +311,15 @@
 
     def _beacon(self, now: float) -> DirectoryBeacon:
         """Return how far this box is."""
-        goes_by = self.goes_by(now)
+        synced_via = self.synced_via(now)
         ago_s = min(BEACON_LIFETIME_S, self._peer_flow.ago_s(now))
         return DirectoryBeacon(
             self.version,
             self._targets.newest,
-            goes_by,
+            synced_via,
             self._evacuations.words,
             self._targets.digest.value,
-            0.0 if goes_by == self._own_address else ago_s,
+            0.0 if synced_via == self._own_address else ago_s,
         )
 
     async def _expire(self) -> None:
--- a/trackwheel/directory/telling.py
+++ b/trackwheel/directory/telling.py
@@ -31,19 +31,19 @@
         hub: Hub,
         election: WatcherElection,
         log: EventLog,
-        goes_by: Callable[[float], str],
+        synced_via: Callable[[float], str],
         beacon: Callable[[float], DirectoryBeacon],
     ) -> None:
         self._hub = hub
         self._election = election
         self._log = log
-        self._goes_by = goes_by
+        self._synced_via = synced_via
         self._beacon = beacon
         self._domain_peers: tuple[str, ...] = ()
         self._remote_watchers: tuple[str, ...] = ()
         self._watched = False
         self._beacon_at = 0.0
-        self._told_goes_by = ""
+        self._sent_synced_via = ""
 
     @property
     def domain_peers(self) -> int:
@@ -61,7 +61,7 @@
 
     def tell_near(self, news: News) -> None:
         """Pass on what another box has told, while this one reads the store for those nearby."""
-        if self._election.watches(steady_now()):
+        if self._election.should_watch(steady_now()):
             self.pass_on(news)
 
     async def run(self) -> None:
@@ -73,16 +73,16 @@
         while True:
             await anyio.sleep(LOOK_PERIOD_S)
             now = steady_now()
-            self._note_watching(self._election.watches(now))
+            self._note_watching(self._election.should_watch(now))
             if self._watched:
                 self._tell_how_far(now)
 
     def _tell_how_far(self, now: float) -> None:
-        goes_by = self._goes_by(now)
-        if now < self._beacon_at and bool(goes_by) is bool(self._told_goes_by):
+        synced_via = self._synced_via(now)
+        if now < self._beacon_at and bool(synced_via) is bool(self._sent_synced_via):
             return
         self._beacon_at = now + BEACON_PERIOD_S - LOOK_PERIOD_S / 2
-        self._told_goes_by = goes_by
+        self._sent_synced_via = synced_via
         self._send(self._beacon(now), self._domain_peers + self._remote_watchers)
 
     def _note_watching(self, watches: bool) -> None:
@@ -91,7 +91,7 @@
             return
         self._watched = watches
         self._beacon_at = 0.0
-        self._log.write("store_watch", reads=watches, boxes_before=self._election.boxes_before)
+        self._log.write("store_watch", reads=watches, boxes_before=self._election.predecessor_count)
 
     def _send(self, message: News | DirectoryBeacon, addresses: Iterable[str]) -> None:
         for address in addresses:
--- a/trackwheel/directory/watcher_election.py
+++ b/trackwheel/directory/watcher_election.py
@@ -1,94 +1,97 @@
-"""Whether this box reads the store itself, decided without I/O."""
+"""Decides, without I/O, whether this box watches the store."""
 
 from collections.abc import Sequence
 
 from trackwheel.directory.const import (
     BEACON_LIFETIME_S,
-    SILENT_STEP_S,
+    START_PEER_WAIT_S,
     START_SETTLE_S,
-    START_WAIT_S,
-    UNHEARD_S,
+    TAKEOVER_DELAY_S,
+    TAKEOVER_STEP_S,
 )
 
 
 class WatcherElection:
-    """Decide from the own place in the fleet and from what watchers say.
+    """Decide by the order of the boxes and by the beacons of watchers.
 
-    The boxes of a failure domain stand in an order that all of them know. The first one watches
-    the store, and every other one trusts a box that goes by an answer of the store. Where nobody
-    is in step any more, the next ones begin to read in that order:
+    The boxes of a failure domain have an order that all of them know. The first one watches the
+    store, and each other one relies on a box that is in sync with it. When no box is in sync any
+    more, the next ones start to read in that order:
 
-    - boxes before this one that have fallen silent are passed over after a short step each;
-    - a box before this one that reads and gets no answer says so. It is the store that is away
-      then, so that each further box begins only after twice the time. However many boxes lose
-      the store at once, those that call it grow with the logarithm of the outage.
+    - silent predecessors are skipped after a short step each;
+    - a predecessor that reads without getting an answer says so. Then the store is unavailable, and
+      each further box starts only after twice the time. However many boxes lose the store at once,
+      the number of those that call it grows with the logarithm of the outage.
     """
 
     def __init__(self, now: float, own_address: str, first: bool) -> None:
         self._own_address = own_address
         self._settled_at = now + (0.0 if first else START_SETTLE_S)
-        self._trusted_at = now - UNHEARD_S + (0.0 if first else START_WAIT_S)
-        self._before: frozenset[str] = frozenset()
-        self._reads_in_vain_at_by_address: dict[str, float] = {}
-        self._began = False
+        self._trusted_at = now - TAKEOVER_DELAY_S + (0.0 if first else START_PEER_WAIT_S)
+        self._predecessors: frozenset[str] = frozenset()
+        self._failing_at_by_address: dict[str, float] = {}
+        self._elected = False
 
-    def set_boxes_before(self, addresses: Sequence[str]) -> None:
-        """Take which boxes of the failure domain come before this one; none: it is the watcher."""
-        self._before = frozenset(addresses)
-        self._reads_in_vain_at_by_address = {
+    def set_predecessors(self, addresses: Sequence[str]) -> None:
+        """Set the boxes of the failure domain that precede this one; the first is the watcher."""
+        self._predecessors = frozenset(addresses)
+        self._failing_at_by_address = {
             address: at
-            for address, at in self._reads_in_vain_at_by_address.items()
-            if address in self._before
+            for address, at in self._failing_at_by_address.items()
+            if address in self._predecessors
         }
 
-    def settles(self, now: float) -> bool:
-        """Return whether this box has just started and goes by a copy of the store."""
+    def is_starting(self, now: float) -> bool:
+        """Return whether this box has just started and uses a stale copy of the store."""
         return now < self._settled_at
 
     @property
-    def boxes_before(self) -> int:
-        """Return how many boxes of the failure domain come before this one."""
-        return len(self._before)
+    def predecessor_count(self) -> int:
+        """Return how many boxes of the failure domain precede this one."""
+        return len(self._predecessors)
 
-    def heard(self, address: str, goes_by: str, now: float, ago_s: float = 0.0) -> None:
-        """Take the word of a box that reads the store.
+    def receive_beacon(
+        self, address: str, synced_via: str, now: float, synced_ago_s: float = 0.0
+    ) -> None:
+        """Handle the beacon of a box that reads the store.
 
-        `goes_by` is the box whose reading of the store it goes by, empty when it is out of step.
-        A box that reads itself leaves that only to one before it: two that heard of each other
-        would both stop.
+        `synced_via` is the box through which it is in sync, empty when it is out of sync. A box
+        that reads the store itself stops only for a predecessor: two that heard of each other would
+        both stop.
 
-        A box that goes by another one heard that `ago_s` before (seconds). Counted from its own
-        word, all watchers that lose the store at once went on vouching for each other, and boxes
-        after them began 1.5 s too late to learn of a configuration in time.
+        A box that is in sync through another one got the beacon of that one `synced_ago_s` before
+        (seconds). When this was counted from its own beacon, watchers that lost the store at once
+        kept confirming each other, and the next boxes started 1.5 s too late to get a configuration
+        in time.
         """
-        if not goes_by:
-            self._reads_in_vain_at_by_address[address] = now
+        if not synced_via:
+            self._failing_at_by_address[address] = now
             return
-        self._reads_in_vain_at_by_address.pop(address, None)
-        if goes_by == self._own_address:
+        self._failing_at_by_address.pop(address, None)
+        if synced_via == self._own_address:
             return
-        if address in self._before or not self.watches(now):
-            self._trusted_at = max(self._trusted_at, now - ago_s)
-            self._began = False
+        if address in self._predecessors or not self.should_watch(now):
+            self._trusted_at = max(self._trusted_at, now - synced_ago_s)
+            self._elected = False
 
-    def watches(self, now: float) -> bool:
+    def should_watch(self, now: float) -> bool:
         """Return whether this box reads the store now."""
         if now < self._settled_at:
             return False
-        if not self._before:
+        if not self._predecessors:
             return True
-        if not self._began:
-            self._began = now - self._trusted_at >= self._patience_s(now)
-        return self._began
+        if not self._elected:
+            self._elected = now - self._trusted_at >= self._takeover_delay_s(now)
+        return self._elected
 
-    def _patience_s(self, now: float) -> float:
-        """Return how long after the last trusted word this box begins to read."""
-        reading = sum(
-            now - self._reads_in_vain_at_by_address.get(address, float("-inf")) < BEACON_LIFETIME_S
-            for address in self._before
+    def _takeover_delay_s(self, now: float) -> float:
+        """Return how long after the last trusted beacon this box starts to read."""
+        failing = sum(
+            now - self._failing_at_by_address.get(address, float("-inf")) < BEACON_LIFETIME_S
+            for address in self._predecessors
         )
-        silent = len(self._before) - reading
-        if not reading:
-            return UNHEARD_S + SILENT_STEP_S * (silent - 1)
-        doublings = reading - 1
-        return UNHEARD_S * 2.0**doublings + SILENT_STEP_S * silent
+        silent = len(self._predecessors) - failing
+        if not failing:
+            return TAKEOVER_DELAY_S + TAKEOVER_STEP_S * (silent - 1)
+        doublings = failing - 1
+        return TAKEOVER_DELAY_S * 2.0**doublings + TAKEOVER_STEP_S * silent
