--- a/tests/directory/test_store_outage.py
+++ b/tests/directory/test_store_outage.py
@@ -12,7 +12,7 @@
 import pytest
 
 from trackwheel.directory.const import BEACON_PERIOD_S, RETRY_LONGEST_S, TAKEOVER_DELAY_S
-from trackwheel.directory.in_step import HowFar, PeerFlow, StoreFlow
+from trackwheel.directory.sync_status import PeerSync, SyncPosition, WatchStatus
 from trackwheel.directory.watcher_election import WatcherElection
 
 STEP_S = 0.05
@@ -33,8 +33,8 @@
         self.first = place == 0
         self.election = WatcherElection(0.0, self.address, place == 0)
         self.election.set_predecessors(before)
-        self.flow = StoreFlow("routes", WATCH_S + 1.0)
-        self.peer_flow = PeerFlow()
+        self.status = WatchStatus("routes", WATCH_S + 1.0)
+        self.peer_sync = PeerSync()
         self.next_call_at = 0.0
         self.next_beacon_at = 0.0
         self.calls_at: list[float] = []
@@ -48,7 +48,7 @@
         """Longest time since the store answered this box, or one whose news had come here."""
 
     def current_source(self, now: float) -> str:
-        return self.address if self.flow.in_step(now) else self.peer_flow.synced_via(now)
+        return self.address if self.status.in_sync(now) else self.peer_sync.synced_peer(now)
 
     def note(self, now: float) -> None:
         if self.current_source(now):
@@ -60,11 +60,11 @@
     def call(self, now: float, answered: bool) -> None:
         self.calls_at.append(now)
         if answered:
-            self.flow.answered(now)
+            self.status.record_answer(now)
             self.answered_at = now
             self.next_call_at = now + WATCH_S
         else:
-            self.flow.failed()
+            self.status.record_failure()
             self.next_call_at = now + RETRY_LONGEST_S
 
     def hear(self, sender: "Box", now: float) -> None:
@@ -76,7 +76,7 @@
             if sender.synced_via:
                 self.in_step_at = now
         if sender.synced_via == sender.address:
-            self.peer_flow.heard(sender.address, 1, 1, now, HowFar(1, 1))
+            self.peer_sync.record_peer(sender.address, 1, 1, now, SyncPosition(1, 1))
 
 
 Reaches = Callable[[Box, float], bool]
@@ -101,7 +101,7 @@
             box.note(now)
             if not box.election.should_watch(now):
                 continue
-            stands = box.flow.in_step(now)
+            stands = box.status.in_sync(now)
             if now >= box.next_call_at or (resets and stands and not reaches(box, now)):
                 box.call(now, reaches(box, now))
             elif stands and reaches(box, now):
@@ -111,7 +111,7 @@
             if now >= box.next_beacon_at or bool(current_source) is not bool(box.synced_via):
                 box.next_beacon_at = now + BEACON_PERIOD_S
                 box.synced_via = current_source
-                box.synced_ago_s = 0.0 if box.flow.in_step(now) else box.peer_flow.ago_s(now)
+                box.synced_ago_s = 0.0 if box.status.in_sync(now) else box.peer_sync.peer_age_s(now)
                 near = [other for other in boxes if other.domain == box.domain]
                 far = [other for other in boxes if other.first and other.domain != box.domain]
                 for other in near + far:
--- a/tests/directory/test_in_step.py
+++ b/tests/directory/test_sync_status.py
@@ -1,29 +1,34 @@
-"""Whether a box's own watches keep it in step."""
+"""Whether a box is in sync by its own watches or through a peer, and when it asks a peer."""
 
 import pytest
 
 from trackwheel.directory.const import BEACON_LIFETIME_S
-from trackwheel.directory.in_step import HowFar, Lag, PeerFlow, StoreFlow
+from trackwheel.directory.sync_status import LagDetector, PeerSync, SyncPosition, WatchStatus
 
 
 @pytest.mark.parametrize(
-    ("answered_at", "failed", "now", "in_step"),
+    ("answered_at", "failed", "now", "in_sync"),
     [(10.0, False, 11.9, True), (10.0, False, 12.0, False), (10.0, True, 10.1, False)],
     ids=["answered-lately", "silent", "failed"],
 )
 def test_watch_is_in_step_while_the_store_answers_it(
-    answered_at: float, failed: bool, now: float, in_step: bool
+    answered_at: float, failed: bool, now: float, in_sync: bool
 ) -> None:
-    flow = StoreFlow("targets", 2.0)
-    flow.answered(answered_at)
+    status = WatchStatus("targets", 2.0)
+    status.record_answer(answered_at)
     if failed:
-        flow.failed()
-    assert flow.in_step(now) is in_step
+        status.record_failure()
+    assert status.in_sync(now) is in_sync
 
 
 def test_loss_and_return_are_told_once() -> None:
-    flow = StoreFlow("targets", 2.0)
-    told = [flow.failed(), flow.failed(), flow.answered(1.0), flow.answered(2.0)]
+    status = WatchStatus("targets", 2.0)
+    told = [
+        status.record_failure(),
+        status.record_failure(),
+        status.record_answer(1.0),
+        status.record_answer(2.0),
+    ]
     assert told == [True, False, True, False]
 
 
@@ -49,12 +54,12 @@
     ],
 )
 def test_box_that_stands_still_asks(steps: list[tuple[int, int, bool, float]], asks: bool) -> None:
-    lag = Lag(1.0)
-    answers = [lag.asks(*step) for step in steps]
+    lag = LagDetector(1.0)
+    answers = [lag.should_ask(*step) for step in steps]
     assert answers[-1] is asks
 
 
-HERE = HowFar(3, 10)
+HERE = SyncPosition(3, 10)
 
 
 @pytest.mark.parametrize(
@@ -65,18 +70,18 @@
         pytest.param([("a", 3, 10, 0.0)], [], BEACON_LIFETIME_S, "", id="long-ago"),
         pytest.param([("a", 3, 11, 0.0)], [], 0.1, "", id="behind"),
         pytest.param([("a", 4, 10, 0.0)], [], 0.1, "", id="behind-in-routes"),
-        pytest.param([("a", 3, 11, 0.0)], [HowFar(3, 11)], 0.1, "a", id="caught-up"),
-        pytest.param([("a", 3, 11, 0.0)], [HowFar(3, 10)], 0.1, "", id="not-far-enough"),
+        pytest.param([("a", 3, 11, 0.0)], [SyncPosition(3, 11)], 0.1, "a", id="caught-up"),
+        pytest.param([("a", 3, 11, 0.0)], [SyncPosition(3, 10)], 0.1, "", id="not-far-enough"),
         pytest.param(
             [("a", 3, 11, 0.0), ("a", 3, 12, 0.5)],
-            [HowFar(3, 11)],
+            [SyncPosition(3, 11)],
             0.6,
             "a",
             id="always-a-little-behind-a-peer-that-moves-on",
         ),
         pytest.param(
             [("a", 3, 11, 0.0), ("b", 3, 12, BEACON_LIFETIME_S)],
-            [HowFar(3, 11)],
+            [SyncPosition(3, 11)],
             BEACON_LIFETIME_S,
             "",
             id="caught-up-with-old-news-only",
@@ -84,11 +89,11 @@
     ],
 )
 def test_box_is_in_step_with_a_peer_that_it_has_caught_up_with(
-    heard: list[tuple[str, int, int, float]], moved: list[HowFar], now: float, synced_via: str
+    heard: list[tuple[str, int, int, float]], moved: list[SyncPosition], now: float, synced_via: str
 ) -> None:
-    flow = PeerFlow()
+    status = PeerSync()
     for address, version, newest, at in heard:
-        flow.heard(address, version, newest, at, HERE)
-    for how_far in moved:
-        flow.moved(how_far)
-    assert flow.synced_via(now) == synced_via
+        status.record_peer(address, version, newest, at, HERE)
+    for position in moved:
+        status.record_progress(position)
+    assert status.synced_peer(now) == synced_via
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -923,8 +923,8 @@
         "the store turns one, all or a third of the watchers away; one dies or freezes",
         OUTAGE + "test_somebody_in_step_is_heard_again_within_seconds",
         Mutant(
-            "trackwheel/directory/in_step.py",
-            'return self._address if self.ago_s(now) < BEACON_LIFETIME_S else ""',
+            "trackwheel/directory/sync_status.py",
+            'return self._address if self.peer_age_s(now) < BEACON_LIFETIME_S else ""',
             'return ""',
         ),
     ),
@@ -991,9 +991,9 @@
         "tests/directory/test_service.py::"
         "test_peer_that_is_ahead_is_asked_while_the_own_watch_is_silent",
         Mutant(
-            "trackwheel/directory/in_step.py",
-            "return not in_step or now - self._behind_since >= self._patience_s",
-            "return not in_step",
+            "trackwheel/directory/sync_status.py",
+            "return not in_sync or now - self._behind_since >= self._timeout_s",
+            "return not in_sync",
         ),
     ),
     Row(
--- a/trackwheel/directory/models.py
+++ b/trackwheel/directory/models.py
@@ -123,7 +123,7 @@
     """
 
     routes_version: int
-    targets_newest: int
+    targets_revision: int
     synced_via: str
     evacuations: list[Evacuation] = []
     targets_digest: int = 0
@@ -134,7 +134,7 @@
     """Ask a peer for what one lacks, of targets only when they are wanted."""
 
     routes_version: int
-    targets_newest: int
+    targets_revision: int
     targets_wanted: bool
 
 
--- a/trackwheel/directory/reading.py
+++ b/trackwheel/directory/reading.py
@@ -20,13 +20,13 @@
     TARGETS_REST_SHARE,
     TARGETS_WAIT_SHARE,
 )
-from trackwheel.directory.in_step import StoreFlow
 from trackwheel.directory.models import (
     DirectorySource,
     HistoryGoneError,
     OperatorStateRead,
     TargetsRead,
 )
+from trackwheel.directory.sync_status import WatchStatus
 from trackwheel.directory.targets import TargetDirectory
 from trackwheel.directory.watcher_election import WatcherElection
 from trackwheel.errors import TrackwheelError
@@ -70,14 +70,14 @@
         self._log = log
         self.targets_rest_s = drain_s * TARGETS_REST_SHARE
         self._targets_wait_s = drain_s * TARGETS_WAIT_SHARE
-        self._orders_flow = StoreFlow("orders", ORDERS_PATIENCE_S)
+        self._orders_flow = WatchStatus("orders", ORDERS_PATIENCE_S)
         patience_s = self.targets_rest_s + self._targets_wait_s + STORE_TIMEOUT_S
-        self._targets_flow = StoreFlow("targets", patience_s)
+        self._targets_flow = WatchStatus("targets", patience_s)
         self.calls = 0
 
-    def in_step(self, now: float) -> bool:
+    def in_sync(self, now: float) -> bool:
         """Return whether the store has answered both watches of this box lately."""
-        return self._orders_flow.in_step(now) and self._targets_flow.in_step(now)
+        return self._orders_flow.in_sync(now) and self._targets_flow.in_sync(now)
 
     async def run(self) -> None:
         """Read until cancelled."""
@@ -124,7 +124,7 @@
         read: Callable[[], Awaitable[Result[T, TrackwheelError]]],
         watch: Callable[[int, float], Awaitable[Result[T, TrackwheelError]]],
         take: Callable[[T], int | None],
-        flow: StoreFlow,
+        flow: WatchStatus,
         wait_s: float,
         rest_s: float,
     ) -> None:
@@ -157,7 +157,7 @@
                     await anyio.sleep(pause_s)
                     pause_s = min(RETRY_LONGEST_S, pause_s * 2)
 
-    def _reads_now(self, flow: StoreFlow) -> bool:
+    def _reads_now(self, flow: WatchStatus) -> bool:
         """Return whether a call on the store is due.
 
         While the store answers neither watch, the orders' one alone tries: one call tells as much
@@ -165,7 +165,7 @@
         """
         if not self._election.should_watch(steady_now()):
             return False
-        return flow is self._orders_flow or not (flow.lost and self._orders_flow.lost)
+        return flow is self._orders_flow or not (flow.failing and self._orders_flow.failing)
 
     def _rest_s(self, usual_s: float) -> float:
         """Return the pause between two watches, short while lapsed entries come back."""
@@ -173,16 +173,16 @@
             return min(usual_s, RETURN_REST_S)
         return usual_s
 
-    def _store_answered(self, flow: StoreFlow, late_s: float) -> None:
+    def _store_answered(self, flow: WatchStatus, late_s: float) -> None:
         """Take an answer; one that is late says that the store was away while it was awaited."""
         if late_s > SLOW_ANSWER_S:
             self._targets.store_lost()
         now = steady_now()
         self._targets.store_back(now)
-        if flow.answered(now):
+        if flow.record_answer(now):
             self._log.write("store_regained", watch=flow.name)
 
-    def _store_failed(self, flow: StoreFlow, error: TrackwheelError) -> None:
+    def _store_failed(self, flow: WatchStatus, error: TrackwheelError) -> None:
         self._targets.store_lost()
-        if flow.failed():
+        if flow.record_failure():
             self._log.write("store_lost", watch=flow.name, reason=str(error))
--- a/trackwheel/directory/service.py
+++ b/trackwheel/directory/service.py
@@ -15,7 +15,6 @@
     PACK_LEVEL,
 )
 from trackwheel.directory.evacuations import Evacuations
-from trackwheel.directory.in_step import HowFar, Lag, PeerFlow
 from trackwheel.directory.models import (
     DirectoryAsk,
     DirectoryBeacon,
@@ -29,6 +28,7 @@
 )
 from trackwheel.directory.reading import StoreReader
 from trackwheel.directory.revisions import show_revision
+from trackwheel.directory.sync_status import LagDetector, PeerSync, SyncPosition
 from trackwheel.directory.targets import TargetDirectory
 from trackwheel.directory.telling import PeerTelling
 from trackwheel.directory.watcher_election import WatcherElection
@@ -62,8 +62,8 @@
         self._evacuations = Evacuations()
         self._orders_settled_at = float("inf")
         self._reader = StoreReader(source, targets, election, self, log, drain_s)
-        self._lag = Lag(self._reader.targets_rest_s)
-        self._peer_flow = PeerFlow()
+        self._lag = LagDetector(self._reader.targets_rest_s)
+        self._peer_sync = PeerSync()
         self._agreement = Agreement(2 * self._reader.targets_rest_s)
         self._telling = PeerTelling(hub, election, log, self.synced_via, self._beacon)
         self._on_routes: list[Callable[[RouteTable], None]] = []
@@ -93,7 +93,7 @@
     @property
     def synced(self) -> bool:
         """Return whether the store has answered both watches of this box lately."""
-        return self._reader.in_step(steady_now())
+        return self._reader.in_sync(steady_now())
 
     @property
     def store_calls(self) -> int:
@@ -110,9 +110,9 @@
 
     def synced_via(self, now: float) -> str:
         """Return the box by whose reading of the store this one is in step, or nothing."""
-        if self._reader.in_step(now):
+        if self._reader.in_sync(now):
             return self._own_address
-        return self._peer_flow.synced_via(now)
+        return self._peer_sync.synced_peer(now)
 
     def set_peers(
         self, before: Sequence[str], domain_peers: Iterable[str], remote_watchers: Iterable[str]
@@ -222,7 +222,7 @@
     def _take_targets_push(self, sender: PeerIdentity, push: TargetsPush) -> None:
         before = self._targets.newest
         changed = self._targets.apply_push(push, steady_now())
-        self._peer_flow.moved(self._how_far)
+        self._peer_sync.record_progress(self._position)
         if changed:
             self._targets_changed(sender.box_id)
         if changed or self._targets.newest > before:
@@ -236,11 +236,13 @@
                 sender.address, beacon.synced_via, now, beacon.synced_ago_s
             )
         if beacon.synced_via == sender.address:
-            self._peer_flow.heard(
-                sender.address, beacon.routes_version, beacon.targets_newest, now, self._how_far
+            self._peer_sync.record_peer(
+                sender.address, beacon.routes_version, beacon.targets_revision, now, self._position
             )
         self._compare(sender, beacon, now)
-        behind = self._lag.asks(self._targets.newest, beacon.targets_newest, self.synced, now)
+        behind = self._lag.should_ask(
+            self._targets.newest, beacon.targets_revision, self.synced, now
+        )
         if beacon.routes_version > self.version or behind:
             self._ask(sender.address, targets_wanted=True)
 
@@ -251,29 +253,31 @@
         """
         if beacon.synced_via != sender.address or self.synced:
             return
-        if beacon.targets_newest != self._targets.newest:
+        if beacon.targets_revision != self._targets.newest:
             self._agreement.moved()
         elif beacon.targets_digest == self._targets.digest.value:
             self._agreement.agrees()
         elif self._agreement.differs(now):
             self._log.write("targets_differ", peer=sender.box_id)
-            self._ask(sender.address, targets_wanted=True, targets_newest=0)
+            self._ask(sender.address, targets_wanted=True, targets_revision=0)
 
     @property
-    def _how_far(self) -> HowFar:
-        return HowFar(self.version, self._targets.newest)
+    def _position(self) -> SyncPosition:
+        return SyncPosition(self.version, self._targets.newest)
 
     def _take_ask(self, sender: PeerIdentity, ask: DirectoryAsk) -> None:
         if self._evacuations.words:
             self._hub.send(sender.address, EvacuationsPush(self._evacuations.words))
         if self.table is not None and ask.routes_version < self.version:
             self._hub.send(sender.address, RoutesPush(self.version, self._packed))
-        if ask.targets_wanted and ask.targets_newest < self._targets.newest:
-            self._hub.send(sender.address, self._targets.changes(ask.targets_newest, steady_now()))
+        if ask.targets_wanted and ask.targets_revision < self._targets.newest:
+            self._hub.send(
+                sender.address, self._targets.changes(ask.targets_revision, steady_now())
+            )
 
-    def _ask(self, address: str, targets_wanted: bool, targets_newest: int | None = None) -> None:
+    def _ask(self, address: str, targets_wanted: bool, targets_revision: int | None = None) -> None:
         """Ask for what came after the own newest change, or after another one."""
-        newest = self._targets.newest if targets_newest is None else targets_newest
+        newest = self._targets.newest if targets_revision is None else targets_revision
         self._hub.send(address, DirectoryAsk(self.version, newest, targets_wanted))
 
     def _adopt(self, table: RouteTable, packed: bytes, source: str) -> None:
@@ -282,7 +286,7 @@
             return
         before = self.version
         self.table, self._packed = table, packed
-        self._peer_flow.moved(self._how_far)
+        self._peer_sync.record_progress(self._position)
         self._log.write("routes_in_force", version=table.version, before=before, source=source)
         for handler in self._on_routes:
             handler(table)
@@ -312,7 +316,7 @@
     def _beacon(self, now: float) -> DirectoryBeacon:
         """Return how far this box is."""
         synced_via = self.synced_via(now)
-        ago_s = min(BEACON_LIFETIME_S, self._peer_flow.ago_s(now))
+        ago_s = min(BEACON_LIFETIME_S, self._peer_sync.peer_age_s(now))
         return DirectoryBeacon(
             self.version,
             self._targets.newest,
