--- a/tests/directory/test_agreement.py
+++ b/tests/directory/test_divergence.py
@@ -1,10 +1,10 @@
-"""When a box that differs from another one asks for everything."""
+"""When a box that keeps differing from another one requests a full resync."""
 
 from itertools import pairwise
 
 import pytest
 
-from trackwheel.directory.agreement import LONGEST_PATIENCE_S, Agreement
+from trackwheel.directory.divergence import MAX_RESYNC_INTERVAL_S, DivergenceDetector
 
 SAME, OTHER, ELSEWHERE = "same", "other", "elsewhere"
 
@@ -24,19 +24,19 @@
 def test_box_that_goes_on_differing_asks(
     heard: list[tuple[float, str]], asks_at: list[float]
 ) -> None:
-    agreement = Agreement(2.0)
+    detector = DivergenceDetector(2.0)
     asked = []
     for at, what in heard:
         if what == SAME:
-            agreement.agrees()
+            detector.record_match()
         elif what == ELSEWHERE:
-            agreement.moved()
-        elif agreement.differs(at):
+            detector.record_other_revision()
+        elif detector.record_mismatch(at):
             asked.append(at)
     assert asked == asks_at
 
 
 def test_it_never_asks_more_seldom_than_the_longest_patience() -> None:
-    agreement = Agreement(2.0)
-    asked = [at for at in range(1000) if agreement.differs(float(at))]
-    assert max(later - earlier for earlier, later in pairwise(asked)) == LONGEST_PATIENCE_S
+    detector = DivergenceDetector(2.0)
+    asked = [at for at in range(1000) if detector.record_mismatch(float(at))]
+    assert max(later - earlier for earlier, later in pairwise(asked)) == MAX_RESYNC_INTERVAL_S
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1446,7 +1446,7 @@
         LEAVING,
         "a box has lost a change in a way that nobody knows of",
         READINGS + "test_box_that_lost_a_change_for_any_reason_is_told_everything",
-        Mutant("trackwheel/directory/service.py", "self._agreement.differs(now)", "False"),
+        Mutant("trackwheel/directory/service.py", "self._divergence.record_mismatch(now)", "False"),
     ),
     Row(
         PLATFORM,
--- a/trackwheel/directory/digest.py
+++ b/trackwheel/directory/digest.py
@@ -1,4 +1,4 @@
-"""One number that differs when two boxes hold other targets, kept up change by change."""
+"""An incremental digest of the targets, to detect that two boxes hold different ones."""
 
 import xxhash
 
@@ -6,22 +6,22 @@
 
 
 class EntriesDigest:
-    """Combine the entries that are held; their order and their heartbeats do not count."""
+    """Combine the current entries; their order and their heartbeats do not count."""
 
     def __init__(self) -> None:
         self.value = 0
-        self.leaving = 0
-        """How many of the entries say that their target is leaving."""
+        self.leaving_count = 0
+        """Number of entries whose target is leaving."""
 
     def add(self, entry: TargetEntry) -> None:
-        """Take an entry in."""
+        """Add an entry."""
         self.value ^= _hash_entry(entry)
-        self.leaving += entry.leaving
+        self.leaving_count += entry.leaving
 
     def remove(self, entry: TargetEntry) -> None:
-        """Take an entry out that was taken in before."""
+        """Remove an entry that was added before."""
         self.value ^= _hash_entry(entry)
-        self.leaving -= entry.leaving
+        self.leaving_count -= entry.leaving
 
 
 def _hash_entry(entry: TargetEntry) -> int:
--- a/trackwheel/directory/service.py
+++ b/trackwheel/directory/service.py
@@ -7,13 +7,13 @@
 from returns.result import Failure, Result, Success
 
 from trackwheel.clock import steady_now
-from trackwheel.directory.agreement import Agreement
 from trackwheel.directory.const import (
     BEACON_LIFETIME_S,
     LOOK_PERIOD_S,
     ORDERS_WRITTEN_AGAIN_S,
     PACK_LEVEL,
 )
+from trackwheel.directory.divergence import DivergenceDetector
 from trackwheel.directory.evacuations import Evacuations
 from trackwheel.directory.models import (
     DirectoryAsk,
@@ -64,7 +64,7 @@
         self._reader = StoreReader(source, targets, election, self, log, drain_s)
         self._lag = LagDetector(self._reader.targets_rest_s)
         self._peer_sync = PeerSync()
-        self._agreement = Agreement(2 * self._reader.targets_rest_s)
+        self._divergence = DivergenceDetector(2 * self._reader.targets_rest_s)
         self._telling = PeerTelling(hub, election, log, self.synced_via, self._beacon)
         self._on_routes: list[Callable[[RouteTable], None]] = []
         self._on_targets: list[Callable[[dict[str, tuple[Target, ...]]], None]] = []
@@ -254,10 +254,10 @@
         if beacon.synced_via != sender.address or self.synced:
             return
         if beacon.targets_revision != self._targets.newest:
-            self._agreement.moved()
+            self._divergence.record_other_revision()
         elif beacon.targets_digest == self._targets.digest.value:
-            self._agreement.agrees()
-        elif self._agreement.differs(now):
+            self._divergence.record_match()
+        elif self._divergence.record_mismatch(now):
             self._log.write("targets_differ", peer=sender.box_id)
             self._ask(sender.address, targets_wanted=True, targets_revision=0)
 
@@ -307,7 +307,7 @@
             source=source,
             newest=show_revision(self._targets.newest),
             count=count,
-            leaving=digest.leaving,
+            leaving=digest.leaving_count,
             digest=f"{digest.value:08x}",
         )
         for handler in self._on_targets:
