--- a/tests/directory/memory_fleet.py
+++ b/tests/directory/memory_fleet.py
@@ -1,4 +1,4 @@
-"""Directory services of several boxes in one process, with a store in memory and delays."""
+"""Directory services of several boxes in one process, with an in-memory store and delays."""
 
 import asyncio
 import random
@@ -24,44 +24,44 @@
 from trackwheel.relay.models import Target
 from trackwheel.routing.models import RouteTable
 
-WAY_S = 0.008
-"""One way between two boxes, as between the regions of the users' fleets."""
+ONE_WAY_DELAY_S = 0.008
+"""Delay of a message between two boxes, as between the regions of the users' fleets."""
 DOMAINS = ("a", "b", "c", "d", "e", "f")
 CONTENT = b'{"version":1,"routes":[],"services":[],"limits":{"max_header_bytes":1,'
 CONTENT += b'"max_body_bytes":1,"header_timeout_ms":1,"idle_timeout_ms":1}}'
 ENTRIES = [
     TargetEntry(f"t-{domain}", "s", "10.0.0.9:1", domain, 2, False, 0.0, 1) for domain in DOMAINS
 ]
-UNREACHED = TrackwheelError(Problem("store_unavailable", "watch", "store", "turned away"))
+UNREACHABLE = TrackwheelError(Problem("store_unavailable", "watch", "store", "turned away"))
 
 
 class MemoryStore:
-    """Hold the operator's evacuations; some boxes may not reach it."""
+    """Hold the operator's evacuations; some boxes may be unable to reach it."""
 
     def __init__(self) -> None:
         self.revision = 2
         self.turned_away: set[str] = set()
         self.evacuated: dict[str, int] = {}
-        self._words: list[Evacuation] = []
+        self._updates: list[Evacuation] = []
         self._changed = asyncio.Event()
 
-    def evacuate(self, domain: str, asked: bool = True) -> None:
-        """Ask for an evacuation, or take it back."""
+    def evacuate(self, domain: str, active: bool = True) -> None:
+        """Request or cancel an evacuation."""
         self.revision += 1
-        self._words.append(Evacuation(domain, asked, self.revision))
-        if asked:
+        self._updates.append(Evacuation(domain, active, self.revision))
+        if active:
             self.evacuated[domain] = self.revision
         else:
             del self.evacuated[domain]
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def words_after(self, revision: int) -> tuple[Evacuation, ...]:
-        """Return what changed after a revision."""
-        return tuple(word for word in self._words if word.revision > revision)
+    def updates_after(self, revision: int) -> tuple[Evacuation, ...]:
+        """Return the changes after a revision."""
+        return tuple(update for update in self._updates if update.revision > revision)
 
     async def wait(self, seconds: float) -> None:
-        """Wait for a change, or so long."""
+        """Wait for a change, at most for the given time."""
         try:
             await asyncio.wait_for(self._changed.wait(), seconds)
         except TimeoutError:
@@ -69,54 +69,58 @@
 
 
 class MemorySource:
-    """Read the store for one box."""
+    """Read the store on behalf of one box."""
 
     def __init__(self, store: MemoryStore, address: str) -> None:
         self._store = store
         self._address = address
 
     @property
-    def _reached(self) -> bool:
+    def _reachable(self) -> bool:
         return self._address not in self._store.turned_away
 
     async def read_operator_state(
         self, copy: bool = False
     ) -> Result[OperatorStateRead, TrackwheelError]:
-        if not self._reached:
-            return Failure(UNREACHED)
-        words = tuple(
+        if not self._reachable:
+            return Failure(UNREACHABLE)
+        updates = tuple(
             Evacuation(domain, True, revision) for domain, revision in self._store.evacuated.items()
         )
         table = decode_routes(CONTENT).unwrap()
-        return Success(OperatorStateRead(table, CONTENT, self._store.revision, False, words, True))
+        return Success(
+            OperatorStateRead(table, CONTENT, self._store.revision, False, updates, True)
+        )
 
     async def watch_operator_state(
         self, after: int, wait_s: float
     ) -> Result[OperatorStateRead, TrackwheelError]:
-        if not self._store.words_after(after):
+        if not self._store.updates_after(after):
             await self._store.wait(wait_s)
-        if not self._reached:
-            return Failure(UNREACHED)
-        words = self._store.words_after(after)
-        return Success(OperatorStateRead(None, b"", self._store.revision, False, words))
+        if not self._reachable:
+            return Failure(UNREACHABLE)
+        updates = self._store.updates_after(after)
+        return Success(OperatorStateRead(None, b"", self._store.revision, False, updates))
 
     async def read_targets(self, copy: bool = False) -> Result[TargetsRead, TrackwheelError]:
-        if not self._reached:
-            return Failure(UNREACHED)
+        if not self._reachable:
+            return Failure(UNREACHABLE)
         return Success(TargetsRead(None, ENTRIES, [], 1))
 
     async def watch_targets(
         self, after: int, wait_s: float
     ) -> Result[TargetsRead, TrackwheelError]:
         await anyio.sleep(wait_s)
-        return Success(TargetsRead(after, [], [], after)) if self._reached else Failure(UNREACHED)
+        return (
+            Success(TargetsRead(after, [], [], after)) if self._reachable else Failure(UNREACHABLE)
+        )
 
     def decode_routes(self, content: bytes) -> Result[RouteTable, TrackwheelError]:
         return decode_routes(content)
 
 
 class MemoryHub:
-    """Carry messages to the other boxes, with a delay, losing some."""
+    """Deliver messages to the other boxes with a delay and with losses."""
 
     def __init__(self, fleet: "MemoryFleet", identity: PeerIdentity) -> None:
         self.identity = identity
@@ -129,20 +133,20 @@
     def send(self, address: str, message: Any) -> bool:
         if self._fleet.random.random() >= self._fleet.loss:
             asyncio.get_running_loop().call_later(
-                WAY_S, self._fleet.deliver, self.identity, address, message
+                ONE_WAY_DELAY_S, self._fleet.deliver, self.identity, address, message
             )
         return True
 
 
 class NoLog:
-    """Write nothing."""
+    """Discard all events."""
 
     def write(self, kind: str, **fields: object) -> None:
         pass
 
 
 class MemoryBox:
-    """One box: its directory, and since when its targets of each domain are barred or not."""
+    """One box: its directory, and since when the targets of each domain have been barred."""
 
     def __init__(self, fleet: "MemoryFleet", domain: str, place: int) -> None:
         self.domain, self.place = domain, place
@@ -163,7 +167,7 @@
 
     @property
     def barred(self) -> set[str]:
-        """Return the domains whose targets get nothing from this box."""
+        """Return the domains whose targets are barred at this box."""
         return set(self.barred_since)
 
     def _take_targets(self, targets_by_service: dict[str, tuple[Target, ...]]) -> None:
@@ -173,7 +177,7 @@
 
 
 class MemoryFleet:
-    """Boxes of several failure domains beside one store."""
+    """Boxes of several failure domains that share one store."""
 
     def __init__(self, boxes: int, loss: float = 0.0) -> None:
         self.store = MemoryStore()
@@ -185,7 +189,7 @@
             self.add(DOMAINS[number % len(DOMAINS)], number // len(DOMAINS))
 
     def add(self, domain: str, place: int) -> MemoryBox:
-        """Add a box, and start it where the others run already."""
+        """Add a box, and start it if the others are running already."""
         box = MemoryBox(self, domain, place)
         self.box_by_address[box.address] = box
         for other in self.box_by_address.values():
@@ -204,7 +208,7 @@
         )
 
     def deliver(self, sender: PeerIdentity, address: str, message: Any) -> None:
-        """Hand a message to its box, if it is there."""
+        """Deliver a message to its box, if there is one."""
         box = self.box_by_address.get(address)
         if box is not None:
             box.hub.handler_by_type[type(message)](sender, message)
@@ -218,7 +222,7 @@
             await anyio.sleep(0.01)
 
     async def until_barred(self, domains: set[str], limit_s: float) -> float:
-        """Wait until every box bars just these domains; return how long that took (seconds)."""
+        """Wait until every box bars exactly these domains; return how long that took (seconds)."""
         began = steady_now()
         with anyio.fail_after(limit_s):
             while any(box.barred != domains for box in self.box_by_address.values()):
--- a/tests/directory/test_evacuations.py
+++ b/tests/directory/test_evacuations.py
@@ -1,9 +1,9 @@
-"""Failure domains whose targets get nothing more: words in any order, and how fast they spread.
+"""Evacuated failure domains: merging updates in any order, and the time they take to spread.
 
-The load: the operator evacuates a failure domain while some boxes cannot hear the store, while
-messages between boxes are lost, or while a box starts. The bound that the users give is 3 to 5 s
-from the store's answer on; the limits here leave half of it to what the model lacks: busy
-processors, full links, queues before targets.
+The operator evacuates a failure domain while some boxes cannot reach the store, while messages
+between boxes are lost, or while a box starts. The users require 3 to 5 s from the answer of the
+store; the limits here leave half of that to what the model lacks: busy processors, full links,
+queues before targets.
 """
 
 import itertools
@@ -16,7 +16,7 @@
 from trackwheel.directory.models import Evacuation
 from trackwheel.directory.revisions import make_revision
 
-WORDS = [
+UPDATES = [
     Evacuation("a", True, 5),
     Evacuation("a", False, 8),
     Evacuation("b", True, 6),
@@ -24,22 +24,22 @@
     Evacuation("b", True, 9),
 ]
 LIMIT_S = 2.5
-"""Half of the users' larger bound."""
+"""Half of the larger limit of the users."""
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(5))), ids=str)
 def test_words_end_the_same_in_any_order(order: tuple[int, ...]) -> None:
     evacuations = Evacuations()
     for place in order:
-        evacuations.take([WORDS[place]])
+        evacuations.merge([UPDATES[place]])
     assert evacuations.domains == {"b"}
 
 
-@pytest.mark.parametrize("word", WORDS, ids=str)
-def test_word_that_comes_twice_is_no_news(word: Evacuation) -> None:
+@pytest.mark.parametrize("evacuation", UPDATES, ids=str)
+def test_word_that_comes_twice_is_no_news(evacuation: Evacuation) -> None:
     evacuations = Evacuations()
-    assert evacuations.take([word])
-    assert not evacuations.take([word])
+    assert evacuations.merge([evacuation])
+    assert not evacuations.merge([evacuation])
 
 
 IN_ERA_2 = make_revision(2, 3)
@@ -58,24 +58,27 @@
 def test_store_that_came_back_from_a_copy_says_nothing_of_known_domains(
     listed: list[str], then: Evacuation | None, domains: set[str]
 ) -> None:
-    """Its revision 3 is given for the second time; what is known came with 5 to 9."""
+    """The restored store assigns its revision 3 again; the known state came with 5 to 9."""
     evacuations = Evacuations()
-    evacuations.take_whole([], make_revision(1, 4))
-    evacuations.take(word._replace(revision=make_revision(1, word.revision)) for word in WORDS)
-    evacuations.take_whole([Evacuation(name, True, IN_ERA_2) for name in listed], IN_ERA_2)
-    assert evacuations.doubtful
+    evacuations.merge_snapshot([], make_revision(1, 4))
+    evacuations.merge(
+        evacuation._replace(revision=make_revision(1, evacuation.revision))
+        for evacuation in UPDATES
+    )
+    evacuations.merge_snapshot([Evacuation(name, True, IN_ERA_2) for name in listed], IN_ERA_2)
+    assert evacuations.after_restore
     if then is not None:
-        evacuations.take([then])
+        evacuations.merge([then])
     assert evacuations.domains == domains
 
 
 def test_later_reading_of_a_store_that_came_back_counts() -> None:
     evacuations = Evacuations()
-    evacuations.take_whole([Evacuation("b", True, make_revision(1, 9))], make_revision(1, 9))
-    evacuations.take_whole([], IN_ERA_2)
+    evacuations.merge_snapshot([Evacuation("b", True, make_revision(1, 9))], make_revision(1, 9))
+    evacuations.merge_snapshot([], IN_ERA_2)
     assert evacuations.domains == {"b"}
-    evacuations.take_whole([], IN_ERA_2 + 1)
-    assert not evacuations.doubtful
+    evacuations.merge_snapshot([], IN_ERA_2 + 1)
+    assert not evacuations.after_restore
     assert evacuations.domains == set()
 
 
@@ -92,29 +95,29 @@
     listed: list[Evacuation], as_of: int, domains: set[str]
 ) -> None:
     evacuations = Evacuations()
-    evacuations.take(WORDS)
-    evacuations.take_whole(listed, as_of)
+    evacuations.merge(UPDATES)
+    evacuations.merge_snapshot(listed, as_of)
     assert evacuations.domains == domains
 
 
 def test_older_word_of_a_peer_does_not_bring_an_evacuation_back() -> None:
     evacuations = Evacuations()
-    evacuations.take_whole([Evacuation("a", True, 5)], 6)
-    evacuations.take_whole([], 9)
-    assert not evacuations.take([Evacuation("a", True, 5)])
+    evacuations.merge_snapshot([Evacuation("a", True, 5)], 6)
+    evacuations.merge_snapshot([], 9)
+    assert not evacuations.merge([Evacuation("a", True, 5)])
     assert not evacuations.domains
 
 
 async def play_evacuation(fleet: MemoryFleet, turned_away: set[str]) -> tuple[float, float]:
-    """Evacuate a domain and take that back; return how long each took to the last box."""
+    """Evacuate a domain and cancel it; return how long each took to reach the last box."""
     async with anyio.create_task_group() as tasks:
         await fleet.run(tasks)
-        # Long enough for the watchers of each domain to be in step.
+        # Long enough for the watchers of each domain to be in sync.
         await anyio.sleep(0.8)
         fleet.store.turned_away = turned_away
         fleet.store.evacuate("a")
         asked_s = await fleet.until_barred({"a"}, LIMIT_S)
-        fleet.store.evacuate("a", asked=False)
+        fleet.store.evacuate("a", active=False)
         back_s = await fleet.until_barred(set(), LIMIT_S)
         tasks.cancel_scope.cancel()
     return asked_s, back_s
@@ -148,7 +151,7 @@
 
 @pytest.mark.parametrize("store_is_away", [False, True], ids=["by-a-copy", "by-a-peer"])
 def test_box_that_starts_knows_the_evacuation_with_its_targets(store_is_away: bool) -> None:
-    """A box that served by routes and targets alone would send to the evacuated domain."""
+    """A box that served with routes and targets alone would send to the evacuated domain."""
 
     async def scenario() -> None:
         fleet = MemoryFleet(12)
--- a/tests/directory/test_service.py
+++ b/tests/directory/test_service.py
@@ -93,7 +93,7 @@
     watcher.take_orders(news)
     ((address, push),) = hub.sent
     assert address == "10.0.0.2:1"
-    assert len(push.packed) < len(news.content) / 8
+    assert len(push.compressed) < len(news.content) / 8
     other, _, _ = make_service()
     other._take_routes_push(PEER, push)
     assert other.table == news.table
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -184,7 +184,7 @@
         {"items": items[1:], "has_more": False, "as_of": 8},
     ]
     read = anyio.run(ToldStore(log, *pages).read_operator_state).unwrap()
-    assert (read.as_of, read.whole) == (6, True)
+    assert (read.as_of, read.complete) == (6, True)
     assert read.evacuations == (("halle-muc", True, 5),)
     assert (read.table is not None) is (config is CONFIG)
 
@@ -193,5 +193,5 @@
     events = [orders("op/evacuate/a", {}, 5), orders("op/evacuate/a", None, 6)]
     store = ToldStore(NoLog(), {"events": events, "as_of": 6})
     read = anyio.run(store.watch_operator_state, 4, 0.0).unwrap()
-    assert not read.whole
+    assert not read.complete
     assert read.evacuations == (("a", True, 5), ("a", False, 6))
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1165,7 +1165,7 @@
         EVACUATED + "test_words_end_the_same_in_any_order",
         Mutant(
             "trackwheel/directory/evacuations.py",
-            "known.revision >= word.revision",
+            "known.revision >= evacuation.revision",
             "False",
         ),
     ),
@@ -1466,7 +1466,11 @@
         "targets, evacuations, configurations and their changes, at boxes as processes",
         "tests/whole/test_store_goes_back.py::"
         "test_what_was_known_holds_until_it_is_written_again_and_what_is_written_counts",
-        Mutant("trackwheel/directory/revisions.py", "(era << _ERA_SHIFT) | own", "own"),
+        Mutant(
+            "trackwheel/directory/revisions.py",
+            "(era << _ERA_SHIFT) | store_revision",
+            "store_revision",
+        ),
     ),
     Row(
         PLATFORM,
@@ -1495,7 +1499,7 @@
         "evacuations that the copy lacks, or still has",
         "tests/directory/test_evacuations.py::"
         "test_store_that_came_back_from_a_copy_says_nothing_of_known_domains",
-        Mutant("trackwheel/directory/evacuations.py", "if self.doubtful:", "if False:"),
+        Mutant("trackwheel/directory/evacuations.py", "if self.after_restore:", "if False:"),
     ),
     Row(
         PLATFORM,
--- a/trackwheel/directory/evacuations.py
+++ b/trackwheel/directory/evacuations.py
@@ -1,4 +1,4 @@
-"""Which failure domains are evacuated: merges words from any source in any order, without I/O."""
+"""Which failure domains are evacuated: merges updates of any source in any order, without I/O."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -7,60 +7,65 @@
 from trackwheel.directory.revisions import era_of
 
 NO_ERA: Final = -1
-"""Stands for the era of a reading before the first one."""
+"""Era before the first read."""
 
 
 class Evacuations:
-    """Keep the newest word on each failure domain; the store's revision decides which is newer.
+    """Keep the latest state of each failure domain; the revision in the store decides.
 
-    An evacuation that was taken back is kept as such, so that an older word that comes late from a
-    peer or from a copy of the store does not bring it back.
+    An evacuation that was cancelled is kept as such, so that an older state which arrives late from
+    a peer or from a stale copy does not reactivate it.
     """
 
     def __init__(self) -> None:
-        self._word_by_domain: dict[str, Evacuation] = {}
+        self._latest_by_domain: dict[str, Evacuation] = {}
         self._era = NO_ERA
-        self.doubtful = False
-        """Whether the last reading was of a store that had just come back from a copy."""
+        self.after_restore = False
+        """Whether the last complete read was the first one after the store was restored from a
+        copy."""
 
     @property
     def domains(self) -> frozenset[str]:
-        """Return the failure domains whose targets get nothing more."""
-        return frozenset(word.failure_domain for word in self.words if word.asked)
+        """Return the failure domains whose targets get no new work."""
+        return frozenset(
+            evacuation.failure_domain for evacuation in self.latest if evacuation.active
+        )
 
     @property
-    def words(self) -> list[Evacuation]:
-        """Return the newest word on each failure domain, for peers."""
-        return list(self._word_by_domain.values())
+    def latest(self) -> list[Evacuation]:
+        """Return the latest state of each failure domain, for peers."""
+        return list(self._latest_by_domain.values())
 
-    def take(self, words: Iterable[Evacuation]) -> bool:
-        """Take words; return whether any of them was news."""
-        return any([self._take_word(word) for word in words])
+    def merge(self, evacuations: Iterable[Evacuation]) -> bool:
+        """Merge updates; return whether any of them changes a domain."""
+        return any([self._merge_one(evacuation) for evacuation in evacuations])
 
-    def take_whole(self, words: Iterable[Evacuation], as_of: int) -> bool:
-        """Take a reading of all that are asked for; those that it lacks were taken back.
+    def merge_snapshot(self, evacuations: Iterable[Evacuation], as_of: int) -> bool:
+        """Merge a complete read of the active evacuations; those that it lacks were cancelled.
 
-        It says nothing of what changed after the revision `as_of`. The first reading after the
-        store has come back from a copy says nothing of domains that are known: what was asked for,
-        or taken back, since that copy is written again.
+        It does not cover changes after the revision `as_of`. The first read after the store was
+        restored from a copy does not change domains that are known: what was requested or cancelled
+        since that copy is written again.
         """
-        listed = list(words)
+        listed = list(evacuations)
         era = era_of(as_of)
-        self.doubtful = NO_ERA < self._era < era
+        self.after_restore = NO_ERA < self._era < era
         self._era = max(era, self._era)
-        if self.doubtful:
-            return self.take(
-                word for word in listed if word.failure_domain not in self._word_by_domain
+        if self.after_restore:
+            return self.merge(
+                evacuation
+                for evacuation in listed
+                if evacuation.failure_domain not in self._latest_by_domain
             )
-        named = {word.failure_domain for word in listed}
+        named = {evacuation.failure_domain for evacuation in listed}
         missing = [
             Evacuation(domain, False, as_of) for domain in self.domains if domain not in named
         ]
-        return self.take(listed + missing)
+        return self.merge(listed + missing)
 
-    def _take_word(self, word: Evacuation) -> bool:
-        known = self._word_by_domain.get(word.failure_domain)
-        if known is not None and known.revision >= word.revision:
+    def _merge_one(self, evacuation: Evacuation) -> bool:
+        known = self._latest_by_domain.get(evacuation.failure_domain)
+        if known is not None and known.revision >= evacuation.revision:
             return False
-        self._word_by_domain[word.failure_domain] = word
-        return known is None or known.asked is not word.asked
+        self._latest_by_domain[evacuation.failure_domain] = evacuation
+        return known is None or known.active is not evacuation.active
--- a/trackwheel/directory/models.py
+++ b/trackwheel/directory/models.py
@@ -1,4 +1,4 @@
-"""Entries of the directory, its source and the messages between boxes."""
+"""Entries of the directory, the interface of its source and the messages between boxes."""
 
 from typing import NamedTuple, Protocol
 
@@ -9,11 +9,11 @@
 
 
 class TargetEntry(NamedTuple):
-    """One target as it describes itself; `cold_s` is how long it is still slow (seconds).
+    """One target as it describes itself; `warmup_left_s` is the rest of its warm-up (seconds).
 
-    `born_ms` is when it started (Unix milliseconds): one that starts again under its id is another
-    one, that holds and knows nothing of before. `sequence` rises with each time that it writes its
-    entry.
+    `born_ms` is the start time (Unix milliseconds): a target that restarts under its id is a
+    different one, without the data and the state of the earlier one. `sequence` rises with each
+    write of the entry.
     """
 
     instance: str
@@ -29,11 +29,11 @@
 
 
 class EntryRemoved(NamedTuple):
-    """Say that the entry of a target is gone since a revision.
+    """The entry of a target was removed at a revision.
 
-    `may_return_s` is how long an entry that lapsed while the store was away may still come back
-    (seconds from when this is sent). `born_ms` and `sequence` are those of the last entry that is
-    known, where there is one.
+    `may_return_s` is how long an entry that expired while the store was unavailable may still be
+    written again (seconds from when this is sent). `born_ms` and `sequence` are those of the last
+    known entry, where there is one.
     """
 
     instance: str
@@ -44,18 +44,18 @@
 
 
 class Evacuation(NamedTuple):
-    """Say whether the targets of a failure domain get nothing more, by the change of a revision."""
+    """Whether the targets of a failure domain get no new work, as of a revision."""
 
     failure_domain: str
-    asked: bool
+    active: bool
     revision: int
 
 
 class OperatorStateRead(NamedTuple):
-    """Bring what the operator has written: a configuration, None when none is new, evacuations.
+    """What the operator has written: a configuration (None if none is new) and evacuations.
 
-    With `whole`, all evacuations are listed that are asked for; otherwise those that changed.
-    `more` says that further changes wait already.
+    With `complete`, all active evacuations are listed; otherwise those that changed. `more` says
+    that further changes are already available.
     """
 
     table: RouteTable | None
@@ -63,13 +63,13 @@
     as_of: int
     more: bool = False
     evacuations: tuple[Evacuation, ...] = ()
-    whole: bool = False
+    complete: bool = False
 
 
 class TargetsRead(NamedTuple):
-    """Bring all entries (`since` is None) or the changes after a revision.
+    """All entries (`since` is None) or the changes after a revision.
 
-    `more` says that further changes wait already.
+    `more` says that further changes are already available.
     """
 
     since: int | None
@@ -80,24 +80,24 @@
 
 
 class HistoryGoneError(TrackwheelError):
-    """Say that the source no longer has the changes after a revision."""
+    """The source no longer has the changes after a revision."""
 
 
 class DirectorySource(Protocol):
-    """Read the platform's store; a failure says nothing about what is in force.
+    """Read the platform's store; a failure leaves in force what is in force.
 
-    With `copy`, what is read may be seconds old, and parts of it of different ages.
+    With `copy`, the result may be some seconds old, and parts of it of different ages.
     """
 
     async def read_operator_state(
         self, copy: bool = False
     ) -> Result[OperatorStateRead, TrackwheelError]:
-        """Return the configuration and the evacuations as they stand."""
+        """Return the current configuration and evacuations."""
 
     async def watch_operator_state(
         self, after: int, wait_s: float
     ) -> Result[OperatorStateRead, TrackwheelError]:
-        """Return what changes of them after a revision, or nothing after a while."""
+        """Return their changes after a revision; none when the wait ends first."""
 
     async def read_targets(self, copy: bool = False) -> Result[TargetsRead, TrackwheelError]:
         """Return all entries of targets."""
@@ -105,21 +105,21 @@
     async def watch_targets(
         self, after: int, wait_s: float
     ) -> Result[TargetsRead, TrackwheelError]:
-        """Return the changes of targets after a revision, or none after a while."""
+        """Return the changes of targets after a revision; none when the wait ends first."""
 
     def decode_routes(self, content: bytes) -> Result[RouteTable, TrackwheelError]:
-        """Return the configuration that some bytes hold."""
+        """Decode a configuration."""
 
 
 class DirectoryBeacon(NamedTuple):
-    """Say how far a box is that reads the store, and whose reading it goes by.
-
-    `targets_newest` is the revision of the newest change of a target; the store's own counter
-    rises without any. `goes_by` is the sender's own address while the store answers it, that of a
-    peer whom it answers and with whom the sender has caught up, or empty. All words on evacuations
-    are in it: there are a few, mostly none, and a push of them that was lost heals so.
-    `targets_digest` differs where two boxes at one revision hold other targets. `heard_ago_s` is
-    how long ago that peer was heard (seconds).
+    """The state of a box that watches the store, and the box through which it is in sync.
+
+    `targets_revision` is the revision of the newest change of a target; the counter of the store
+    also rises without one. `synced_via` is the address of the sender while the store answers it,
+    that of a peer which the store answers and with which the sender has caught up, or empty. All
+    evacuations are included: there are few, mostly none, and a lost push of them is made up for.
+    `targets_digest` differs where two boxes at one revision hold different targets. `synced_ago_s`
+    is how long ago the beacon of that peer arrived (seconds).
     """
 
     routes_version: int
@@ -131,7 +131,7 @@
 
 
 class DirectoryAsk(NamedTuple):
-    """Ask a peer for what one lacks, of targets only when they are wanted."""
+    """Ask a peer for what this box lacks; for targets only if they are wanted."""
 
     routes_version: int
     targets_revision: int
@@ -139,25 +139,25 @@
 
 
 class RoutesPush(NamedTuple):
-    """Pass a configuration on, whole, packed by zlib."""
+    """Pass on a complete configuration, compressed with zlib."""
 
     version: int
-    packed: bytes
+    compressed: bytes
 
 
 class EvacuationsPush(NamedTuple):
-    """Pass on the newest word on each failure domain that was ever evacuated."""
+    """Pass on the latest state of each failure domain that was ever evacuated."""
 
     evacuations: list[Evacuation]
 
 
 class TargetsPush(NamedTuple):
-    """Pass on all changes after the revision `since`, up to the sender's `newest` one.
+    """Pass on all changes after the revision `since`, up to `known_revision` of the sender.
 
-    After 0 those are all entries: what is not among them and not newer is gone, unless the store
-    was away lately and it comes back within `may_return_s` (seconds from when this is sent). A
-    peer that lacks earlier changes takes these, and asks for the rest when it hears how far others
-    are.
+    With `since` 0 these are all entries: an entry that is not listed and not newer was removed,
+    unless the store was unavailable lately and the entry is written again within `may_return_s`
+    (seconds from when this is sent). A peer that lacks earlier changes applies these, and asks for
+    the rest when a beacon shows a newer revision.
     """
 
     since: int
--- a/trackwheel/directory/revisions.py
+++ b/trackwheel/directory/revisions.py
@@ -1,22 +1,22 @@
-"""Revisions that rise even where the store comes back from an older copy and gives its own again.
+"""Revisions that rise even if the store is restored from an older copy and reuses its own.
 
-The store counts how often it has come back: its era. Here a revision is one number made of the
-era and the store's own revision, so that whatever is written later has the greater one.
+The store counts its restores: its era. Here a revision is one number that combines the era and the
+revision of the store, so that a later write always has the greater one.
 """
 
 from typing import Final
 
 _ERA_SHIFT: Final = 40
-"""Bits for the store's own revision: a thousand writes a second fill them in 34 years."""
+"""Bits for the revision of the store: a thousand writes a second use them up in 34 years."""
 
 
-def make_revision(era: int, own: int) -> int:
-    """Return the revision for one that the store gave in an era."""
-    return (era << _ERA_SHIFT) | own
+def make_revision(era: int, store_revision: int) -> int:
+    """Return the combined revision for one that the store assigned in an era."""
+    return (era << _ERA_SHIFT) | store_revision
 
 
 def era_of(revision: int) -> int:
-    """Return the era in which a revision was given."""
+    """Return the era in which a revision was assigned."""
     return revision >> _ERA_SHIFT
 
 
@@ -25,6 +25,6 @@
     return revision & ((1 << _ERA_SHIFT) - 1)
 
 
-def show_revision(revision: int) -> str:
-    """Return a revision as logs have it."""
+def format_revision(revision: int) -> str:
+    """Format a revision for the log."""
     return f"{era_of(revision)}.{store_revision_of(revision)}"
--- a/trackwheel/directory/service.py
+++ b/trackwheel/directory/service.py
@@ -27,7 +27,7 @@
     TargetsRead,
 )
 from trackwheel.directory.reading import StoreReader
-from trackwheel.directory.revisions import show_revision
+from trackwheel.directory.revisions import format_revision
 from trackwheel.directory.sync_status import LagDetector, PeerSync, SyncPosition
 from trackwheel.directory.targets import TargetDirectory
 from trackwheel.directory.telling import PeerTelling
@@ -147,16 +147,16 @@
         """
         if read.table is not None:
             self._adopt(read.table, zlib.compress(read.content, PACK_LEVEL), "store")
-        if not read.whole:
+        if not read.complete:
             self._take_evacuations(read.evacuations, "store")
-        elif self._evacuations.take_whole(read.evacuations, read.as_of):
+        elif self._evacuations.merge_snapshot(read.evacuations, read.as_of):
             self._evacuations_changed("store")
-        return None if self._reads_orders_again(read.whole, steady_now()) else read.as_of
+        return None if self._reads_orders_again(read.complete, steady_now()) else read.as_of
 
     def _reads_orders_again(self, whole: bool, now: float) -> bool:
         """Return whether what a store lacked that came back from a copy is written again by now."""
         if whole:
-            lasts_s = ORDERS_WRITTEN_AGAIN_S if self._evacuations.doubtful else float("inf")
+            lasts_s = ORDERS_WRITTEN_AGAIN_S if self._evacuations.after_restore else float("inf")
             self._orders_settled_at = now + lasts_s
         return now >= self._orders_settled_at
 
@@ -176,13 +176,13 @@
         """Note up to where the store was read, and what of it goes to how many peers."""
         self._log.write(
             "targets_read",
-            after=None if read.since is None else show_revision(read.since),
-            as_of=show_revision(read.as_of),
+            after=None if read.since is None else format_revision(read.since),
+            as_of=format_revision(read.as_of),
             entries=len(read.entries),
             gone=len(read.removed),
             peers=self._telling.domain_peers,
-            told_after=show_revision(push.since),
-            told_newest=show_revision(push.newest),
+            told_after=format_revision(push.since),
+            told_newest=format_revision(push.newest),
             told=len(push.entries) + len(push.removed),
         )
 
@@ -198,9 +198,9 @@
     def _take_routes_push(self, sender: PeerIdentity, push: RoutesPush) -> None:
         if push.version <= self.version:
             return
-        match self._unpack(push.packed):
+        match self._unpack(push.compressed):
             case Success(table):
-                self._adopt(table, push.packed, sender.box_id)
+                self._adopt(table, push.compressed, sender.box_id)
             case Failure(error):
                 self._log.write("routes_rejected", source=sender.box_id, reason=str(error))
 
@@ -216,7 +216,7 @@
         self._take_evacuations(push.evacuations, sender.box_id)
 
     def _take_evacuations(self, words: Iterable[Evacuation], source: str) -> None:
-        if self._evacuations.take(words):
+        if self._evacuations.merge(words):
             self._evacuations_changed(source)
 
     def _take_targets_push(self, sender: PeerIdentity, push: TargetsPush) -> None:
@@ -266,8 +266,8 @@
         return SyncPosition(self.version, self._targets.newest)
 
     def _take_ask(self, sender: PeerIdentity, ask: DirectoryAsk) -> None:
-        if self._evacuations.words:
-            self._hub.send(sender.address, EvacuationsPush(self._evacuations.words))
+        if self._evacuations.latest:
+            self._hub.send(sender.address, EvacuationsPush(self._evacuations.latest))
         if self.table is not None and ask.routes_version < self.version:
             self._hub.send(sender.address, RoutesPush(self.version, self._packed))
         if ask.targets_wanted and ask.targets_revision < self._targets.newest:
@@ -296,7 +296,7 @@
         """Let no new work go to the domains that are evacuated now, and tell the boxes nearby."""
         self._log.write("evacuations", domains=",".join(sorted(self.evacuated)), source=source)
         self._targets_changed(source)
-        self._telling.tell_near(EvacuationsPush(self._evacuations.words))
+        self._telling.tell_near(EvacuationsPush(self._evacuations.latest))
 
     def _targets_changed(self, source: str) -> None:
         targets_by_service = self._targets.targets_by_service(self.evacuated)
@@ -305,7 +305,7 @@
         self._log.write(
             "targets",
             source=source,
-            newest=show_revision(self._targets.newest),
+            newest=format_revision(self._targets.newest),
             count=count,
             leaving=digest.leaving_count,
             digest=f"{digest.value:08x}",
@@ -321,7 +321,7 @@
             self.version,
             self._targets.newest,
             synced_via,
-            self._evacuations.words,
+            self._evacuations.latest,
             self._targets.digest.value,
             0.0 if synced_via == self._own_address else ago_s,
         )
--- a/trackwheel/platform/store.py
+++ b/trackwheel/platform/store.py
@@ -258,7 +258,7 @@
             for item in items
             if item.tls_key.startswith(PREFIX_EVACUATIONS)
         )
-        read = OperatorStateRead(None, b"", as_of, evacuations=evacuations, whole=whole)
+        read = OperatorStateRead(None, b"", as_of, evacuations=evacuations, complete=whole)
         written = [item for item in items if item.tls_key == KEY_CONFIG and not item.deleted]
         if not written:
             return read
