--- a/tests/directory/paged_store.py
+++ b/tests/directory/paged_store.py
@@ -1,6 +1,6 @@
-"""A store in memory whose readings take several pages, between which it changes.
+"""An in-memory store whose reads take several pages, between which it changes.
 
-It may come back from a copy; then what was written since is gone, and revisions are given again.
+It can be restored from a copy; then later writes are lost and their revisions are assigned again.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class PagedStore:
-    """Hold entries and their history; targets come, leave, beat and go as a seed has it."""
+    """Hold entries and their history; targets start, leave, send heartbeats and stop by a seed."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -22,7 +22,7 @@
         self.written = 0
         self.entry_by_instance: dict[str, TargetEntry] = {}
         self.last_by_instance: dict[str, TargetEntry] = {}
-        """What each target wrote last; those that are gone for good are not in it."""
+        """The last write of each target that has not been removed for good."""
         self._history: list[TargetEntry | EntryRemoved] = []
 
     @property
@@ -31,7 +31,7 @@
         return make_revision(self.era, self.written)
 
     def put(self, instance: str, leaving: bool = False) -> None:
-        """Let a target write its entry."""
+        """Write the entry of a target."""
         self.written += 1
         last = self.last_by_instance.get(instance)
         sequence = 1 if last is None else last.sequence + 1
@@ -42,18 +42,18 @@
         self._history.append(entry)
 
     def remove(self, instance: str) -> None:
-        """Let an entry go for good."""
+        """Remove the entry of a target for good."""
         self.written += 1
         self.last_by_instance.pop(instance, None)
         del self.entry_by_instance[instance]
         self._history.append(EntryRemoved(instance, self.revision))
 
-    def copy(self) -> tuple[int, dict[str, TargetEntry]]:
-        """Return what the store holds now."""
+    def snapshot(self) -> tuple[int, dict[str, TargetEntry]]:
+        """Return the current content."""
         return self.written, dict(self.entry_by_instance)
 
-    def come_back_from(self, earlier: tuple[int, dict[str, TargetEntry]]) -> None:
-        """Hold what a copy holds."""
+    def restore(self, earlier: tuple[int, dict[str, TargetEntry]]) -> None:
+        """Replace the content by that of a copy."""
         self.era += 1
         self.written, entries = earlier[0], earlier[1]
         self.entry_by_instance = {
@@ -64,15 +64,15 @@
         }
         self._history.clear()
 
-    def write_again(self) -> None:
-        """Let each target write what it had written last, and what is gone go again."""
+    def rewrite(self) -> None:
+        """Repeat the last write of each target and the removals that the copy lacks."""
         for instance in sorted(self.entry_by_instance.keys() - self.last_by_instance.keys()):
             self.remove(instance)
         for instance, last in sorted(self.last_by_instance.items()):
             self.put(instance, last.leaving)
 
     def change(self, times: int) -> None:
-        """Let so many things happen to targets."""
+        """Make a number of random changes."""
         for _ in range(times):
             self._change_one()
 
@@ -90,7 +90,7 @@
             self.put(instance, leaving)
 
     def read(self, between_pages: Callable[[], None]) -> TargetsRead:
-        """Return all entries, each page as it stood when it was read."""
+        """Return all entries, each page as of the time when it was read."""
         as_of, last, found = self.revision, "", list[TargetEntry]()
         while True:
             names = [name for name in sorted(self.entry_by_instance) if name > last]
@@ -101,7 +101,7 @@
             between_pages()
 
     def watch(self, after: int) -> TargetsRead:
-        """Return the changes after a revision; raise `HistoryGoneError` for one it lacks."""
+        """Return the changes after a revision; raise `HistoryGoneError` for one of another era."""
         if era_of(after) != self.era:
             raise HistoryGoneError(Problem("history_gone", "watch", "store", "came back"))
         news = [event for event in self._history if event.revision > after]
--- a/tests/directory/test_readings.py
+++ b/tests/directory/test_readings.py
@@ -1,4 +1,4 @@
-"""What the boxes that do not read the store hold, whatever happens while another one reads it."""
+"""The targets that boxes hold which do not read the store, whatever changes during a read."""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 class Net:
-    """Carry messages between boxes at once, unless they are to be lost."""
+    """Deliver messages between boxes at once, except those to be lost."""
 
     def __init__(self) -> None:
         self.box_by_address: dict[str, ReadingBox] = {}
@@ -32,7 +32,7 @@
 
 
 class ReadingBox:
-    """The directory of one box, which a test lets read the store."""
+    """The directory of one box, driven by reads that a test supplies."""
 
     def __init__(self, net: Net, address: str, drain_s: float = 3.0) -> None:
         self.identity = PeerIdentity(address, address, address, "r", "a")
@@ -50,20 +50,20 @@
         net.box_by_address[address] = self
 
     def register(self, message_type: type[Any], handler: Any) -> None:
-        """Take what the directory does with messages of a kind."""
+        """Register the handler for a type of message."""
         self.handler_by_type[message_type] = handler
 
     def send(self, address: str, message: Any) -> bool:
-        """Send a message of the directory."""
+        """Send a message to another box."""
         self._net.deliver(self.identity, address, message)
         return True
 
     def reads(self, read: TargetsRead) -> int:
-        """Take a reading of the store."""
-        return self.service.take_targets(read)
+        """Apply a read of the store."""
+        return self.service.apply_targets(read)
 
-    def hear(self, sender: "ReadingBox") -> None:
-        """Hear how far another box is."""
+    def receive_beacon(self, sender: "ReadingBox") -> None:
+        """Receive the beacon of another box."""
         targets = sender.targets
         beacon = DirectoryBeacon(
             0, targets.known_revision, sender.identity.address, [], targets.digest.value
@@ -72,7 +72,7 @@
 
 
 def make_boxes(net: Net, count: int, drain_s: float = 3.0) -> list[ReadingBox]:
-    """Return boxes of which the first one reads; the others go by what it passes on."""
+    """Return boxes of which the first one reads the store and passes on what it read."""
     boxes = [ReadingBox(net, f"box-{number}", drain_s) for number in range(count)]
     addresses = [box.identity.address for box in boxes]
     boxes[0].service.set_peers([], addresses[1:], [])
@@ -81,8 +81,8 @@
     return boxes
 
 
-def held(box: ReadingBox) -> dict[str, bool]:
-    """Return the targets that a box takes for present, and which of them are leaving."""
+def present_targets(box: ReadingBox) -> dict[str, bool]:
+    """Return the targets that a box considers present, and whether each is leaving."""
     return {
         target.instance: target.barred
         for targets in box.targets.targets_by_service().values()
@@ -91,7 +91,7 @@
     }
 
 
-def there(store: PagedStore) -> dict[str, bool]:
+def present(store: PagedStore) -> dict[str, bool]:
     return {name: entry.leaving for name, entry in store.entry_by_instance.items()}
 
 
@@ -109,17 +109,17 @@
         for _ in range(2):
             changes()
             after = reader.reads(store.watch(after))
-        assert held(reader) == there(store)
-        assert held(peer) == there(store)
+        assert present_targets(reader) == present(store)
+        assert present_targets(peer) == present(store)
         assert peer.targets.digest.value == reader.targets.digest.value
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_peers_lose_what_went_while_the_box_that_reads_was_another_one(seed: int) -> None:
-    """Boxes that had missed a removal kept 45 targets that were gone, for good.
+    """Boxes that had missed a removal kept 45 removed targets for good.
 
-    The box that reads starts again and again, with nothing known of before; half of what it sends
-    is lost, until at the end each peer hears once how far it is.
+    The box that reads restarts again and again without any earlier state, and half of its messages
+    are lost, until at the end each peer gets one beacon.
     """
     store, net = PagedStore(seed), Net()
     store.change(60)
@@ -135,15 +135,15 @@
             changes()
             after = reader.reads(store.watch(after))
             for peer in peers:
-                peer.hear(reader)
+                peer.receive_beacon(reader)
         changes()
         reader = ReadingBox(net, reader.identity.address)
         reader.service.set_peers([], [peer.identity.address for peer in peers], [])
     net.loses = lambda: False
     reader.reads(store.watch(reader.reads(store.read(changes))))
     for peer in peers:
-        peer.hear(reader)
-        assert held(peer) == there(store)
+        peer.receive_beacon(reader)
+        assert present_targets(peer) == present(store)
         assert peer.targets.digest.value == reader.targets.digest.value
 
 
@@ -151,38 +151,38 @@
 def test_leaving_and_lost_targets_stay_so_while_the_store_is_older_than_its_boxes(
     seed: int,
 ) -> None:
-    """The store comes back from a copy some changes old, and gives its revisions again."""
+    """The store is restored from a copy that is some changes old, and reuses its revisions."""
     store, net = PagedStore(seed), Net()
     store.change(60)
     reader, peer = make_boxes(net, 2)
     after = reader.reads(store.read(lambda: None))
-    earlier = store.copy()
+    earlier = store.snapshot()
     store.change(30)
     reader.reads(store.watch(after))
-    known = there(store)
+    known = present(store)
 
-    store.come_back_from(earlier)
+    store.restore(earlier)
     reader.reads(store.read(lambda: None))
     for box in (reader, peer):
-        assert {name for name, leaving in held(box).items() if not leaving} <= {
+        assert {name for name, leaving in present_targets(box).items() if not leaving} <= {
             name for name, leaving in known.items() if not leaving
         }
 
-    after = reader.reads(store.read(store.write_again))
-    store.write_again()
+    after = reader.reads(store.read(store.rewrite))
+    store.rewrite()
     after = reader.reads(store.watch(after))
     store.change(30)
     reader.reads(store.watch(after))
     for box in (reader, peer):
         box.targets.expire(steady_now() + ENTRY_RETURN_S + ENTRY_PROPAGATION_S)
-        assert held(box) == there(store)
+        assert present_targets(box) == present(store)
 
 
 @pytest.mark.parametrize("lost", ["one-that-stays", "one-that-leaves"])
 def test_box_that_lost_a_change_for_any_reason_is_told_everything(lost: str) -> None:
-    """Here a fault that nobody knows of yet has taken a target out of a peer's directory.
+    """An unknown fault, modelled here by a deletion, removed a target from the directory of a peer.
 
-    News take no time here, so that boxes differ for too long at once.
+    Updates take no time here, so that the boxes differ for too long at once.
     """
     store, net = PagedStore(1), Net()
     store.put("one-that-stays")
@@ -190,6 +190,6 @@
     reader, peer = make_boxes(net, 2, drain_s=0.0)
     reader.reads(store.read(lambda: None))
     peer.targets._drop(lost)
-    assert held(peer) != there(store)
-    peer.hear(reader)
-    assert held(peer) == there(store)
+    assert present_targets(peer) != present(store)
+    peer.receive_beacon(reader)
+    assert present_targets(peer) == present(store)
--- a/tests/directory/test_service.py
+++ b/tests/directory/test_service.py
@@ -1,4 +1,4 @@
-"""What watchers pass on to their peers."""
+"""What watchers send to their peers, and when a box reads the store or asks a peer."""
 
 import json
 from typing import Any
@@ -9,7 +9,7 @@
 
 from tests.platform.test_wire import CONFIG
 from trackwheel.clock import steady_now
-from trackwheel.directory.const import LOOK_PERIOD_S, START_SETTLE_S
+from trackwheel.directory.const import POLL_PERIOD_S, START_SETTLE_S
 from trackwheel.directory.models import (
     DirectoryAsk,
     DirectoryBeacon,
@@ -32,7 +32,7 @@
 
 
 class FakeHub:
-    """Note what is sent."""
+    """Record the messages that are sent."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, Any]] = []
@@ -47,14 +47,14 @@
 
 
 class FakeSource:
-    """Decode as the platform's client does."""
+    """Decode like the client of the platform."""
 
     def decode_routes(self, content: bytes) -> Result[RouteTable, TrackwheelError]:
         return decode_routes(content)
 
 
 class FakeLog:
-    """Note events."""
+    """Record the types of events."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -90,12 +90,12 @@
     """Ten thousand routes must fit a link of 10 Mbit/s to each of ten peers within seconds."""
     watcher, hub, _ = make_service()
     news = read(7, 4000)
-    watcher.take_orders(news)
+    watcher.apply_operator_state(news)
     ((address, push),) = hub.sent
     assert address == "10.0.0.2:1"
     assert len(push.compressed) < len(news.content) / 8
     other, _, _ = make_service()
-    other._take_routes_push(PEER, push)
+    other._receive_routes(PEER, push)
     assert other.table == news.table
 
 
@@ -107,7 +107,7 @@
 def test_versions_only_rise(versions: list[int], in_force: int) -> None:
     service, _, log = make_service()
     for version in versions:
-        service.take_orders(read(version))
+        service.apply_operator_state(read(version))
     assert service.version == in_force
     assert log.events.count("routes_in_force") == len(set(versions[: versions.index(in_force) + 1]))
 
@@ -115,7 +115,7 @@
 @pytest.mark.parametrize("packed", [b"", b"no zlib", b"x\x9c\x03\x00\x00\x00\x00\x01"])
 def test_broken_push_is_rejected_and_logged(packed: bytes) -> None:
     service, _, log = make_service()
-    service._take_routes_push(PEER, RoutesPush(8, packed))
+    service._receive_routes(PEER, RoutesPush(8, packed))
     assert service.version == 0
     assert log.events == ["routes_rejected"]
 
@@ -134,11 +134,11 @@
 def test_targets_are_asked_of_far_boxes_only_when_no_watcher_is_heard(
     starting: bool, wanted: bool
 ) -> None:
-    """At a start each of 84 boxes had all targets from several others in other regions."""
+    """At a start, each of 84 boxes got all targets from several others in other regions."""
     service, hub, _ = make_service()
     service.set_peers([PEER.address], [], [])
     if not starting:
-        service._take_beacon(PEER, DirectoryBeacon(0, 0, PEER.address))
+        service._receive_beacon(PEER, DirectoryBeacon(0, 0, PEER.address))
     service.peer_version("10.9.0.1:1", 3)
     assert hub.sent == [("10.9.0.1:1", DirectoryAsk(0, 0, wanted))]
 
@@ -146,15 +146,15 @@
 @pytest.mark.parametrize("wanted", [True, False], ids=["wanted", "not-wanted"])
 def test_targets_are_sent_to_those_who_want_them(wanted: bool) -> None:
     service, hub, _ = make_service()
-    service.take_targets(TargetsRead(None, [ENTRY], [], 6))
+    service.apply_targets(TargetsRead(None, [ENTRY], [], 6))
     hub.sent.clear()
-    service._take_ask(PEER, DirectoryAsk(0, 0, wanted))
+    service._receive_ask(PEER, DirectoryAsk(0, 0, wanted))
     kinds = [type(message) for _, message in hub.sent]
     assert kinds == ([TargetsPush] if wanted else [])
 
 
 class SilentTargets(FakeSource):
-    """Answer the watch of the routes; that of the targets hears nothing after the first reading."""
+    """Answer the watch of the routes; that of the targets gets no answer after the first read."""
 
     async def read_operator_state(
         self, copy: bool = False
@@ -178,7 +178,7 @@
 
 
 def test_peer_that_is_ahead_is_asked_while_the_own_watch_is_silent() -> None:
-    """The routes' watch was answered, so that the box counted as in step and asked nobody."""
+    """The watch of the routes was answered, so that the box counted as in sync and asked nobody."""
     drain_s = 0.2
 
     async def scenario() -> list[Any]:
@@ -187,7 +187,7 @@
             tasks.start_soon(service.run)
             await anyio.sleep(drain_s / 4)
             for _ in range(4):
-                service._take_beacon(PEER, DirectoryBeacon(3, 9, PEER.address))
+                service._receive_beacon(PEER, DirectoryBeacon(3, 9, PEER.address))
                 await anyio.sleep(drain_s / 6)
             tasks.cancel_scope.cancel()
         return [message for _, message in hub.sent if isinstance(message, DirectoryAsk)]
@@ -196,7 +196,7 @@
 
 
 class ManyChanges(FakeSource):
-    """Fail once, then bring changes in several answers, as after an outage of the store."""
+    """Fail once, then return changes in several answers, as after an outage of the store."""
 
     def __init__(self, answers: int) -> None:
         self.left = answers
@@ -230,7 +230,7 @@
 
 
 def test_watcher_that_was_cut_off_is_in_step_again_at_once() -> None:
-    """It went through the changes in pages with a second between them, for six seconds."""
+    """It read the changes in pages a second apart, which took six seconds."""
     source = ManyChanges(answers=4)
 
     async def scenario() -> None:
@@ -243,12 +243,12 @@
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
-    # Each reading is followed by a rest; answers behind which more waits are not.
+    # Each read is followed by a pause; answers with more changes behind them are not.
     assert source.calls == ["read", "watch", "read", "watch", "watch", "watch", "watch"]
 
 
 class CopyOnly(FakeSource):
-    """Note which reads were asked for; answer as a copy that is seconds old."""
+    """Record which reads were requested; answer like a copy that is seconds old."""
 
     def __init__(self) -> None:
         self.reads: list[tuple[str, bool]] = []
@@ -278,7 +278,7 @@
 
 @pytest.mark.parametrize("alone", [False, True], ids=["watcher-is-heard", "alone"])
 def test_box_that_starts_serves_by_a_copy_and_learns_the_rest_from_a_watcher(alone: bool) -> None:
-    """The load: 195 boxes start at once, each thinks that it is alone and reads everything."""
+    """When 195 boxes start at once, each considers itself alone and would read everything."""
     source = CopyOnly()
 
     async def scenario() -> tuple[DirectoryService, FakeHub]:
@@ -291,8 +291,8 @@
             assert service.ready
             assert source.reads == [("routes", True), ("targets", True)]
             if not alone:
-                service._take_beacon(PEER, DirectoryBeacon(4, 9, PEER.address))
-            await anyio.sleep(START_SETTLE_S + LOOK_PERIOD_S)
+                service._receive_beacon(PEER, DirectoryBeacon(4, 9, PEER.address))
+            await anyio.sleep(START_SETTLE_S + POLL_PERIOD_S)
             tasks.cancel_scope.cancel()
         return service, hub
 
--- a/tests/directory/test_store_outage.py
+++ b/tests/directory/test_store_outage.py
@@ -1,8 +1,8 @@
-"""Who calls the store while it is away, at several sizes of the fleet, in virtual time.
+"""Which boxes call the store during an outage, at several sizes of the fleet, in virtual time.
 
-The load: the store goes for all boxes at once, or for some, and comes back. At 195 boxes each of
-which began to read as soon as it heard of no watcher in step, an outage of five seconds cost
-5,074 calls, 26 a box; the bound here is one that does not grow with the fleet.
+The store is unavailable for all boxes at once, or for some, and returns. When each of 195 boxes
+started to read as soon as it heard of no watcher in sync, an outage of five seconds cost 5,074
+calls, 26 per box; the limit here does not grow with the fleet.
 """
 
 from collections.abc import Callable
@@ -11,20 +11,20 @@
 
 import pytest
 
-from trackwheel.directory.const import BEACON_PERIOD_S, RETRY_LONGEST_S, TAKEOVER_DELAY_S
+from trackwheel.directory.const import BEACON_PERIOD_S, RETRY_MAX_PAUSE_S, TAKEOVER_DELAY_S
 from trackwheel.directory.sync_status import PeerSync, SyncPosition, WatchStatus
 from trackwheel.directory.watcher_election import WatcherElection
 
 STEP_S = 0.05
 WATCH_S = 1.0
-"""How long a call waits at a store that answers, when nothing changes."""
+"""How long a watch waits at a store that answers, when nothing changes."""
 DOMAINS = 6
-SETTLED_S = 4.0
-"""When the store goes away."""
+OUTAGE_START_S = 4.0
+"""Start of the outage."""
 
 
 class Box:
-    """The decisions of one box, with the calls and the messages that its shell would make."""
+    """The decisions of one box, with the calls and the beacons that its service would make."""
 
     def __init__(self, domain: int, place: int, before: list[str]) -> None:
         self.address = f"{domain}/{place}"
@@ -42,15 +42,15 @@
         self.synced_ago_s = 0.0
         self.in_step_at = 0.0
         self.longest_silence_s = 0.0
-        """Longest time without a word of a box in step, or an answer, while the box ran."""
+        """Longest time without a beacon of a box in sync, or an answer, while the box ran."""
         self.answered_at = 0.0
         self.longest_unanswered_s = 0.0
-        """Longest time since the store answered this box, or one whose news had come here."""
+        """Longest time since the store answered this box, or one whose updates reached it."""
 
     def current_source(self, now: float) -> str:
         return self.address if self.status.in_sync(now) else self.peer_sync.synced_peer(now)
 
-    def note(self, now: float) -> None:
+    def observe(self, now: float) -> None:
         if self.current_source(now):
             self.in_step_at = now
         self.longest_silence_s = max(self.longest_silence_s, now - self.in_step_at)
@@ -65,9 +65,9 @@
             self.next_call_at = now + WATCH_S
         else:
             self.status.record_failure()
-            self.next_call_at = now + RETRY_LONGEST_S
+            self.next_call_at = now + RETRY_MAX_PAUSE_S
 
-    def hear(self, sender: "Box", now: float) -> None:
+    def receive(self, sender: "Box", now: float) -> None:
         self.answered_at = max(self.answered_at, sender.answered_at)
         if sender.domain == self.domain:
             self.election.receive_beacon(
@@ -79,14 +79,14 @@
             self.peer_sync.record_peer(sender.address, 1, 1, now, SyncPosition(1, 1))
 
 
-Reaches = Callable[[Box, float], bool]
-"""Whether the store answers a box at a time."""
+Condition = Callable[[Box, float], bool]
+"""Whether a condition, such as an answer of the store, holds for a box at a time."""
 
 
-def play(
-    per_domain: int, reaches: Reaches, alive: Reaches, end: float, resets: bool = False
+def simulate(
+    per_domain: int, reaches: Condition, alive: Condition, end: float, resets: bool = False
 ) -> list[Box]:
-    """Run all boxes; with `resets`, a watch that stands ends at once where the store goes."""
+    """Run all boxes; with `resets`, a pending watch fails at once when the store is lost."""
     boxes = [
         Box(domain, place, [f"{domain}/{before}" for before in range(place)])
         for domain in range(DOMAINS)
@@ -98,14 +98,14 @@
             if not alive(box, now):
                 box.in_step_at = now
                 continue
-            box.note(now)
+            box.observe(now)
             if not box.election.should_watch(now):
                 continue
-            stands = box.status.in_sync(now)
-            if now >= box.next_call_at or (resets and stands and not reaches(box, now)):
+            pending = box.status.in_sync(now)
+            if now >= box.next_call_at or (resets and pending and not reaches(box, now)):
                 box.call(now, reaches(box, now))
-            elif stands and reaches(box, now):
-                # It would tell of a change at once.
+            elif pending and reaches(box, now):
+                # A pending watch would return a change at once.
                 box.answered_at = now
             current_source = box.current_source(now)
             if now >= box.next_beacon_at or bool(current_source) is not bool(box.synced_via):
@@ -116,27 +116,27 @@
                 far = [other for other in boxes if other.first and other.domain != box.domain]
                 for other in near + far:
                     if other is not box and alive(other, now):
-                        other.hear(box, now)
+                        other.receive(box, now)
     return boxes
 
 
 class Outage(NamedTuple):
-    """Say whom the store leaves without an answer, and which boxes do not run meanwhile."""
+    """For whom the store is unavailable, and which boxes do not run meanwhile."""
 
-    reaches: Reaches
-    alive: Reaches
+    reaches: Condition
+    alive: Condition
 
 
 def always(box: Box, now: float) -> bool:
     return True
 
 
-def away(now: float, lasts_s: float) -> bool:
-    return SETTLED_S <= now < SETTLED_S + lasts_s
+def in_outage(now: float, lasts_s: float) -> bool:
+    return OUTAGE_START_S <= now < OUTAGE_START_S + lasts_s
 
 
 def whole_outage(lasts_s: float) -> Outage:
-    return Outage(lambda box, now: not away(now, lasts_s), always)
+    return Outage(lambda box, now: not in_outage(now, lasts_s), always)
 
 
 @pytest.mark.parametrize("per_domain", [1, 10, 33], ids=["6-boxes", "60-boxes", "198-boxes"])
@@ -145,40 +145,40 @@
     per_domain: int, lasts_s: float
 ) -> None:
     outage = whole_outage(lasts_s)
-    end = SETTLED_S + lasts_s + 2.0
-    boxes = play(per_domain, outage.reaches, outage.alive, end)
-    callers = {box.address for box in boxes if any(at >= SETTLED_S for at in box.calls_at)}
+    end = OUTAGE_START_S + lasts_s + 2.0
+    boxes = simulate(per_domain, outage.reaches, outage.alive, end)
+    callers = {box.address for box in boxes if any(at >= OUTAGE_START_S for at in box.calls_at)}
     allowed = 2 + ceil(log2(max(1.0, (lasts_s + 1.0) / TAKEOVER_DELAY_S)))
     assert len(callers) <= DOMAINS * allowed
     for box in boxes:
         assert end - box.in_step_at <= BEACON_PERIOD_S + STEP_S
-    # Once it is back, the first one of each domain reads alone again.
+    # After its return, only the first box of each domain reads.
     last_s = [box.address for box in boxes if any(at > end - 0.9 for at in box.calls_at)]
     assert set(last_s) <= {f"{domain}/0" for domain in range(DOMAINS)}
 
 
 def watcher_is_turned_away(box: Box, now: float) -> bool:
-    return not (box.domain == 0 and box.first and away(now, 10.0))
+    return not (box.domain == 0 and box.first and in_outage(now, 10.0))
 
 
 def all_watchers_are_turned_away(box: Box, now: float) -> bool:
-    return not (box.first and away(now, 10.0))
+    return not (box.first and in_outage(now, 10.0))
 
 
 def third_is_turned_away(box: Box, now: float) -> bool:
-    return not (box.place % 3 == 0 and away(now, 10.0))
+    return not (box.place % 3 == 0 and in_outage(now, 10.0))
 
 
 def first_two_are_turned_away(box: Box, now: float) -> bool:
-    return not (box.place < 2 and away(now, 10.0))
+    return not (box.place < 2 and in_outage(now, 10.0))
 
 
 def watcher_is_dead(box: Box, now: float) -> bool:
-    return not (box.domain == 0 and box.first and now >= SETTLED_S)
+    return not (box.domain == 0 and box.first and now >= OUTAGE_START_S)
 
 
 def watcher_is_frozen_for_a_while(box: Box, now: float) -> bool:
-    return not (box.domain == 0 and box.first and away(now, 3.0))
+    return not (box.domain == 0 and box.first and in_outage(now, 3.0))
 
 
 @pytest.mark.parametrize(
@@ -199,18 +199,18 @@
 def test_somebody_in_step_is_heard_again_within_seconds(
     outage: Outage, silent_s: float, most_callers: int
 ) -> None:
-    """A box that hears of nobody in step may be told too late that a target is leaving."""
+    """A box that hears of nobody in sync may learn too late that a target is leaving."""
     per_domain = 20
-    end = SETTLED_S + 9.0
-    boxes = play(per_domain, outage.reaches, outage.alive, end)
-    callers = {box.address for box in boxes if any(at >= SETTLED_S for at in box.calls_at)}
+    end = OUTAGE_START_S + 9.0
+    boxes = simulate(per_domain, outage.reaches, outage.alive, end)
+    callers = {box.address for box in boxes if any(at >= OUTAGE_START_S for at in box.calls_at)}
     assert len(callers) <= most_callers
     assert max(box.longest_silence_s for box in boxes) <= silent_s
 
 
 READ_WITHIN_S = 2.5
-"""The least bound of the users for a configuration is 3 s; half a second is for the reading itself
-and for the ways between boxes."""
+"""The strictest limit of the users for a configuration is 3 s; half a second is for the read itself
+and the delays between boxes."""
 
 
 @pytest.mark.parametrize("per_domain", [3, 10, 33], ids=["18-boxes", "60-boxes", "198-boxes"])
@@ -218,16 +218,16 @@
 def test_next_boxes_read_in_time_when_all_watchers_lose_the_store_at_once(
     per_domain: int, shift_s: float
 ) -> None:
-    """What was seen: a request for a route that had been there for 3.2 s was refused as unknown.
+    """A request for a route that had been written 3.2 s earlier was refused as unknown.
 
-    All boxes that read the store were turned away by it within 10 ms, just before the operator
-    wrote the route. Each had heard the others a moment ago and went on telling the boxes after it
-    that it was in step, for 1.5 s; these began two seconds after the last such word.
+    The store rejected all boxes that read it within 10 ms, just before the operator wrote the
+    route. Each had heard the others a moment ago and kept telling its failure domain for 1.5 s that
+    it was in sync; the next boxes started two seconds after the last such beacon.
     """
-    lost_at = SETTLED_S + shift_s
+    lost_at = OUTAGE_START_S + shift_s
 
     def reaches(box: Box, now: float) -> bool:
         return not (box.first and lost_at <= now < lost_at + 10.0)
 
-    boxes = play(per_domain, reaches, always, lost_at + 6.0, resets=True)
+    boxes = simulate(per_domain, reaches, always, lost_at + 6.0, resets=True)
     assert max(box.longest_unanswered_s for box in boxes) <= READ_WITHIN_S
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1157,7 +1157,7 @@
         EVACUATED + "test_evacuation_is_in_force_at_every_box",
         Mutant(
             "trackwheel/directory/service.py",
-            "        self._take_evacuations(beacon.evacuations, sender.box_id)\n",
+            "        self._merge_evacuations(beacon.evacuations, sender.box_id)\n",
             "",
         ),
     ),
@@ -1179,7 +1179,7 @@
         EVACUATED + "test_box_that_starts_knows_the_evacuation_with_its_targets",
         Mutant(
             "trackwheel/directory/service.py",
-            '        self._take_evacuations(orders.evacuations, "copy")\n',
+            '        self._merge_evacuations(orders.evacuations, "copy")\n',
             "",
         ),
     ),
--- a/trackwheel/directory/__init__.py
+++ b/trackwheel/directory/__init__.py
@@ -1,1 +1,1 @@
-"""What is in force and which targets there are: read by few boxes, passed on to all."""
+"""Routes and targets: read from the store by a few boxes, which pass them on to all others."""
--- a/trackwheel/directory/service.py
+++ b/trackwheel/directory/service.py
@@ -1,4 +1,4 @@
-"""The service that keeps the directory: what the store and peers tell, passed on to peers."""
+"""The directory service: applies updates of the store and of peers and passes them on."""
 
 import zlib
 from collections.abc import Callable, Iterable, Sequence
@@ -9,9 +9,9 @@
 from trackwheel.clock import steady_now
 from trackwheel.directory.const import (
     BEACON_LIFETIME_S,
-    LOOK_PERIOD_S,
-    ORDERS_WRITTEN_AGAIN_S,
-    PACK_LEVEL,
+    COMPRESSION_LEVEL,
+    OPERATOR_REWRITE_S,
+    POLL_PERIOD_S,
 )
 from trackwheel.directory.divergence import DivergenceDetector
 from trackwheel.directory.evacuations import Evacuations
@@ -26,11 +26,11 @@
     TargetsPush,
     TargetsRead,
 )
-from trackwheel.directory.reading import StoreReader
+from trackwheel.directory.peer_notifier import PeerNotifier
 from trackwheel.directory.revisions import format_revision
+from trackwheel.directory.store_reader import StoreReader
 from trackwheel.directory.sync_status import LagDetector, PeerSync, SyncPosition
 from trackwheel.directory.targets import TargetDirectory
-from trackwheel.directory.telling import PeerTelling
 from trackwheel.directory.watcher_election import WatcherElection
 from trackwheel.errors import Problem, TrackwheelError
 from trackwheel.peers.hub import Hub
@@ -41,7 +41,7 @@
 
 
 class DirectoryService:
-    """Keep routes and targets in step with the store, directly or through peers."""
+    """Keep routes and targets in sync with the store, directly or through peers."""
 
     def __init__(
         self,
@@ -58,26 +58,26 @@
         self._targets = targets
         self._election = election
         self._log = log
-        self._packed = b""
+        self._compressed_routes = b""
         self._evacuations = Evacuations()
-        self._orders_settled_at = float("inf")
+        self._operator_state_settled_at = float("inf")
         self._reader = StoreReader(source, targets, election, self, log, drain_s)
-        self._lag = LagDetector(self._reader.targets_rest_s)
+        self._lag = LagDetector(self._reader.targets_pause_s)
         self._peer_sync = PeerSync()
-        self._divergence = DivergenceDetector(2 * self._reader.targets_rest_s)
-        self._telling = PeerTelling(hub, election, log, self.synced_via, self._beacon)
+        self._divergence = DivergenceDetector(2 * self._reader.targets_pause_s)
+        self._notifier = PeerNotifier(hub, election, log, self.synced_via, self._beacon)
         self._on_routes: list[Callable[[RouteTable], None]] = []
         self._on_targets: list[Callable[[dict[str, tuple[Target, ...]]], None]] = []
         self.table: RouteTable | None = None
-        hub.register(DirectoryBeacon, self._take_beacon)
-        hub.register(DirectoryAsk, self._take_ask)
-        hub.register(RoutesPush, self._take_routes_push)
-        hub.register(EvacuationsPush, self._take_evacuations_push)
-        hub.register(TargetsPush, self._take_targets_push)
+        hub.register(DirectoryBeacon, self._receive_beacon)
+        hub.register(DirectoryAsk, self._receive_ask)
+        hub.register(RoutesPush, self._receive_routes)
+        hub.register(EvacuationsPush, self._receive_evacuations)
+        hub.register(TargetsPush, self._receive_targets)
 
     @property
     def version(self) -> int:
-        """Return the version in force here, 0 when none is."""
+        """Return the version in force here, 0 when there is none."""
         return self.table.version if self.table is not None else 0
 
     @property
@@ -87,12 +87,12 @@
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Return the failure domains whose targets get nothing more, as far as is known here."""
+        """Return the failure domains whose targets get no new work, as far as is known here."""
         return self._evacuations.domains
 
     @property
     def synced(self) -> bool:
-        """Return whether the store has answered both watches of this box lately."""
+        """Return whether the store has answered both watches of this box recently."""
         return self._reader.in_sync(steady_now())
 
     @property
@@ -105,11 +105,11 @@
         self._on_routes.append(handler)
 
     def on_targets(self, handler: Callable[[dict[str, tuple[Target, ...]]], None]) -> None:
-        """Call a handler with the targets whenever they are others."""
+        """Call a handler with the targets whenever they change."""
         self._on_targets.append(handler)
 
     def synced_via(self, now: float) -> str:
-        """Return the box by whose reading of the store this one is in step, or nothing."""
+        """Return the address of the box through which this one is in sync, or an empty string."""
         if self._reader.in_sync(now):
             return self._own_address
         return self._peer_sync.synced_peer(now)
@@ -117,119 +117,122 @@
     def set_peers(
         self, before: Sequence[str], domain_peers: Iterable[str], remote_watchers: Iterable[str]
     ) -> None:
-        """Take who comes before this box as a watcher, whom it passes news on to, whom it tells.
+        """Set the predecessors in the watcher election and the peers that get updates and beacons.
 
         Watchers of other domains read the store too; one that cannot asks for what it lacks.
         """
         self._election.set_predecessors(before)
-        self._telling.set_peers(domain_peers, remote_watchers)
+        self._notifier.set_peers(domain_peers, remote_watchers)
 
     def peer_version(self, address: str, version: int) -> None:
-        """Take the version that a peer, often in another region, says it has in force.
+        """Handle the version that a peer, often in another region, has in force.
 
-        Its targets are asked for only while no watcher is heard from: one near sends them too.
+        Targets are requested from it only while no watcher is heard of: one of the own domain sends
+        them too.
         """
         if version > self.version:
-            unheard = self._election.should_watch(steady_now()) and not self.synced
-            self._ask(address, targets_wanted=unheard)
+            no_watcher = self._election.should_watch(steady_now()) and not self.synced
+            self._send_ask(address, targets_wanted=no_watcher)
 
     async def run(self) -> None:
-        """Keep in step until cancelled."""
+        """Keep in sync until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._reader.run)
-            tasks.start_soon(self._telling.run)
+            tasks.start_soon(self._notifier.run)
             tasks.start_soon(self._expire)
 
-    def take_orders(self, read: OperatorStateRead) -> int | None:
-        """Take a reading or a change of the store.
+    def apply_operator_state(self, read: OperatorStateRead) -> int | None:
+        """Apply a read or a change of the operator's keys.
 
-        Return the revision from which to watch on, None when all is to be read once more.
+        Return the revision from which to continue the watch, None to request a complete read.
         """
         if read.table is not None:
-            self._adopt(read.table, zlib.compress(read.content, PACK_LEVEL), "store")
+            self._put_in_force(read.table, zlib.compress(read.content, COMPRESSION_LEVEL), "store")
         if not read.complete:
-            self._take_evacuations(read.evacuations, "store")
+            self._merge_evacuations(read.evacuations, "store")
         elif self._evacuations.merge_snapshot(read.evacuations, read.as_of):
             self._evacuations_changed("store")
-        return None if self._reads_orders_again(read.complete, steady_now()) else read.as_of
+        return None if self._rereads_operator_state(read.complete, steady_now()) else read.as_of
 
-    def _reads_orders_again(self, whole: bool, now: float) -> bool:
-        """Return whether what a store lacked that came back from a copy is written again by now."""
-        if whole:
-            lasts_s = ORDERS_WRITTEN_AGAIN_S if self._evacuations.after_restore else float("inf")
-            self._orders_settled_at = now + lasts_s
-        return now >= self._orders_settled_at
+    def _rereads_operator_state(self, complete: bool, now: float) -> bool:
+        """Return whether a restored store has had time to get back what it lacks."""
+        if complete:
+            rewrite_s = OPERATOR_REWRITE_S if self._evacuations.after_restore else float("inf")
+            self._operator_state_settled_at = now + rewrite_s
+        return now >= self._operator_state_settled_at
 
-    def take_targets(self, read: TargetsRead) -> int:
-        """Take a reading or changes of the store; return the revision from which to watch on."""
+    def apply_targets(self, read: TargetsRead) -> int:
+        """Apply a read or changes of targets; return the revision from which to watch on."""
         before = self._targets.known_revision
         changed = self._targets.apply(read, steady_now())
         if changed:
             self._targets_changed("store")
         if changed or self._targets.known_revision > before:
             push = self._targets.changes_since(before, steady_now())
-            self._note_read(read, push)
-            self._telling.pass_on(push)
+            self._log_read(read, push)
+            self._notifier.broadcast(push)
         return read.as_of
 
-    def _note_read(self, read: TargetsRead, push: TargetsPush) -> None:
-        """Note up to where the store was read, and what of it goes to how many peers."""
+    def _log_read(self, read: TargetsRead, push: TargetsPush) -> None:
+        """Log up to which revision the store was read, and what is sent to how many peers."""
         self._log.write(
             "targets_read",
             after=None if read.since is None else format_revision(read.since),
             as_of=format_revision(read.as_of),
             entries=len(read.entries),
             gone=len(read.removed),
-            peers=self._telling.domain_peers,
+            peers=self._notifier.domain_peer_count,
             told_after=format_revision(push.since),
             told_newest=format_revision(push.known_revision),
             told=len(push.entries) + len(push.removed),
         )
 
-    def take_copy(self, orders: OperatorStateRead, targets: TargetsRead) -> None:
-        """Take a copy of the store that may be seconds old."""
+    def apply_copy(self, orders: OperatorStateRead, targets: TargetsRead) -> None:
+        """Apply a copy of the store that may be some seconds old."""
         if orders.table is not None:
-            self._adopt(orders.table, zlib.compress(orders.content, PACK_LEVEL), "copy")
-        # What a copy lacks may have been asked for since, so that it takes nothing back.
-        self._take_evacuations(orders.evacuations, "copy")
+            self._put_in_force(
+                orders.table, zlib.compress(orders.content, COMPRESSION_LEVEL), "copy"
+            )
+        # An evacuation that the copy lacks may be newer than the copy, so it cancels none.
+        self._merge_evacuations(orders.evacuations, "copy")
         if self._targets.apply_copy(targets.entries, steady_now()):
             self._targets_changed("copy")
 
-    def _take_routes_push(self, sender: PeerIdentity, push: RoutesPush) -> None:
+    def _receive_routes(self, sender: PeerIdentity, push: RoutesPush) -> None:
         if push.version <= self.version:
             return
-        match self._unpack(push.compressed):
+        match self._decompress(push.compressed):
             case Success(table):
-                self._adopt(table, push.compressed, sender.box_id)
+                self._put_in_force(table, push.compressed, sender.box_id)
             case Failure(error):
                 self._log.write("routes_rejected", source=sender.box_id, reason=str(error))
 
-    def _unpack(self, packed: bytes) -> Result[RouteTable, TrackwheelError]:
+    def _decompress(self, compressed: bytes) -> Result[RouteTable, TrackwheelError]:
         try:
-            content = zlib.decompress(packed)
+            content = zlib.decompress(compressed)
         except zlib.error as error:
             problem = Problem("bad_routes", "unpack", "peer", str(error))
             return Failure(TrackwheelError(problem))
         return self._source.decode_routes(content)
 
-    def _take_evacuations_push(self, sender: PeerIdentity, push: EvacuationsPush) -> None:
-        self._take_evacuations(push.evacuations, sender.box_id)
+    def _receive_evacuations(self, sender: PeerIdentity, push: EvacuationsPush) -> None:
+        self._merge_evacuations(push.evacuations, sender.box_id)
 
-    def _take_evacuations(self, words: Iterable[Evacuation], source: str) -> None:
-        if self._evacuations.merge(words):
+    def _merge_evacuations(self, evacuations: Iterable[Evacuation], source: str) -> None:
+        if self._evacuations.merge(evacuations):
             self._evacuations_changed(source)
 
-    def _take_targets_push(self, sender: PeerIdentity, push: TargetsPush) -> None:
+    def _receive_targets(self, sender: PeerIdentity, push: TargetsPush) -> None:
         before = self._targets.known_revision
         changed = self._targets.apply_push(push, steady_now())
         self._peer_sync.record_progress(self._position)
         if changed:
             self._targets_changed(sender.box_id)
         if changed or self._targets.known_revision > before:
-            self._telling.tell_near(push)
+            self._notifier.forward(push)
 
-    def _take_beacon(self, sender: PeerIdentity, beacon: DirectoryBeacon) -> None:
-        self._take_evacuations(beacon.evacuations, sender.box_id)
+    def _receive_beacon(self, sender: PeerIdentity, beacon: DirectoryBeacon) -> None:
+        self._merge_evacuations(beacon.evacuations, sender.box_id)
         now = steady_now()
         if sender.failure_domain == self._hub.identity.failure_domain:
             self._election.receive_beacon(
@@ -244,12 +247,12 @@
             self._targets.known_revision, beacon.targets_revision, self.synced, now
         )
         if beacon.routes_version > self.version or behind:
-            self._ask(sender.address, targets_wanted=True)
+            self._send_ask(sender.address, targets_wanted=True)
 
     def _compare(self, sender: PeerIdentity, beacon: DirectoryBeacon, now: float) -> None:
-        """Ask for everything where this box differs from one that reads the store.
+        """Request everything where this box differs from one that reads the store.
 
-        A box that reads it itself has no need to: what it holds is what the store answered.
+        A box that reads the store itself need not: it holds what the store answered.
         """
         if beacon.synced_via != sender.address or self.synced:
             return
@@ -259,44 +262,46 @@
             self._divergence.record_match()
         elif self._divergence.record_mismatch(now):
             self._log.write("targets_differ", peer=sender.box_id)
-            self._ask(sender.address, targets_wanted=True, targets_revision=0)
+            self._send_ask(sender.address, targets_wanted=True, targets_revision=0)
 
     @property
     def _position(self) -> SyncPosition:
         return SyncPosition(self.version, self._targets.known_revision)
 
-    def _take_ask(self, sender: PeerIdentity, ask: DirectoryAsk) -> None:
+    def _receive_ask(self, sender: PeerIdentity, ask: DirectoryAsk) -> None:
         if self._evacuations.latest:
             self._hub.send(sender.address, EvacuationsPush(self._evacuations.latest))
         if self.table is not None and ask.routes_version < self.version:
-            self._hub.send(sender.address, RoutesPush(self.version, self._packed))
+            self._hub.send(sender.address, RoutesPush(self.version, self._compressed_routes))
         if ask.targets_wanted and ask.targets_revision < self._targets.known_revision:
             self._hub.send(
                 sender.address, self._targets.changes_since(ask.targets_revision, steady_now())
             )
 
-    def _ask(self, address: str, targets_wanted: bool, targets_revision: int | None = None) -> None:
-        """Ask for what came after the own newest change, or after another one."""
+    def _send_ask(
+        self, address: str, targets_wanted: bool, targets_revision: int | None = None
+    ) -> None:
+        """Ask for what came after the newest change known here, or after another revision."""
         newest = self._targets.known_revision if targets_revision is None else targets_revision
         self._hub.send(address, DirectoryAsk(self.version, newest, targets_wanted))
 
-    def _adopt(self, table: RouteTable, packed: bytes, source: str) -> None:
-        """Put a newer configuration in force; an older one never is."""
+    def _put_in_force(self, table: RouteTable, compressed: bytes, source: str) -> None:
+        """Put a newer configuration in force; an older one is ignored."""
         if table.version <= self.version:
             return
         before = self.version
-        self.table, self._packed = table, packed
+        self.table, self._compressed_routes = table, compressed
         self._peer_sync.record_progress(self._position)
         self._log.write("routes_in_force", version=table.version, before=before, source=source)
         for handler in self._on_routes:
             handler(table)
-        self._telling.tell_near(RoutesPush(table.version, packed))
+        self._notifier.forward(RoutesPush(table.version, compressed))
 
     def _evacuations_changed(self, source: str) -> None:
-        """Let no new work go to the domains that are evacuated now, and tell the boxes nearby."""
+        """Stop new work for the domains that are evacuated now, and notify the failure domain."""
         self._log.write("evacuations", domains=",".join(sorted(self.evacuated)), source=source)
         self._targets_changed(source)
-        self._telling.tell_near(EvacuationsPush(self._evacuations.latest))
+        self._notifier.forward(EvacuationsPush(self._evacuations.latest))
 
     def _targets_changed(self, source: str) -> None:
         targets_by_service = self._targets.targets_by_service(self.evacuated)
@@ -314,21 +319,21 @@
             handler(targets_by_service)
 
     def _beacon(self, now: float) -> DirectoryBeacon:
-        """Return how far this box is."""
+        """Return the beacon of this box."""
         synced_via = self.synced_via(now)
-        ago_s = min(BEACON_LIFETIME_S, self._peer_sync.peer_age_s(now))
+        peer_age_s = min(BEACON_LIFETIME_S, self._peer_sync.peer_age_s(now))
         return DirectoryBeacon(
             self.version,
             self._targets.known_revision,
             synced_via,
             self._evacuations.latest,
             self._targets.digest.value,
-            0.0 if synced_via == self._own_address else ago_s,
+            0.0 if synced_via == self._own_address else peer_age_s,
         )
 
     async def _expire(self) -> None:
         while True:
-            await anyio.sleep(LOOK_PERIOD_S)
+            await anyio.sleep(POLL_PERIOD_S)
             now = steady_now()
             if self._targets.next_expiry() <= now and self._targets.expire(now):
                 self._targets_changed("expiry")
