--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: a few boxes in virtual time, with loss, kills, freezes and cuts by seed."""
+"""Membership: a few boxes in virtual time, with loss, kills, pauses and partitions by seed."""
 
 import pytest
 
@@ -94,27 +94,33 @@
 
 @pytest.mark.parametrize("seed", range(1, 21))
 def test_note_of_a_leaving_target_is_everywhere_within_one_probe_period(seed: int) -> None:
-    """The load: a target leaves and its health page lies, so that only an answer told one box."""
+    """A target leaves while its health page is wrong, so that one box learns it from an answer."""
     fleet = VirtualFleet(6, seed=seed)
-    note = LeavingTarget("127.0.0.1:9", "boot")
+    leaving_target = LeavingTarget("127.0.0.1:9", "boot")
     address = f"10.0.0.{seed % 6}:82"
     began = 10.0 + 0.37 * seed
     fleet.run(began)
-    fleet.perform(address, fleet.box_by_address[address].announce_leaving_target(note, fleet.now))
+    fleet.perform(
+        address, fleet.box_by_address[address].announce_leaving_target(leaving_target, fleet.now)
+    )
     fleet.run(began + TIMING.probe_period_s)
-    assert all(note in fleet.notes_by_box.get(other, set()) for other in fleet.box_by_address)
+    assert all(
+        leaving_target in fleet.notes_by_box.get(other, set()) for other in fleet.box_by_address
+    )
 
 
 def test_notes_of_leaving_targets_reach_everyone_and_newcomers() -> None:
     fleet = VirtualFleet(7)
-    note = LeavingTarget("127.0.0.1:9", "boot")
+    leaving_target = LeavingTarget("127.0.0.1:9", "boot")
     box = fleet.box_by_address["10.0.0.0:82"]
-    fleet.perform("10.0.0.0:82", box.announce_leaving_target(note, fleet.now))
+    fleet.perform("10.0.0.0:82", box.announce_leaving_target(leaving_target, fleet.now))
     fleet.run(fleet.now + 1.5)
-    assert all(note in fleet.notes_by_box.get(address, set()) for address in fleet.box_by_address)
+    assert all(
+        leaving_target in fleet.notes_by_box.get(address, set()) for address in fleet.box_by_address
+    )
     fleet.start("10.0.0.9:82", 9, tuple(fleet.box_by_address))
     fleet.run(fleet.now + 3.0)
-    assert note in fleet.notes_by_box.get("10.0.0.9:82", set())
+    assert leaving_target in fleet.notes_by_box.get("10.0.0.9:82", set())
 
 
 def test_listed_box_that_is_gone_and_unlisted_one_that_is_there() -> None:
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -532,14 +532,14 @@
         MEMBERSHIP,
         "a killed box, seven boxes",
         MEMBERS + "test_killed_box_is_gone_everywhere_within_two_seconds",
-        Mutant("trackwheel/fleet/membership.py", "        self._bury(now)\n", ""),
+        Mutant("trackwheel/fleet/membership.py", "        self._declare_dead(now)\n", ""),
     ),
     Row(
         FLEET,
         MEMBERSHIP,
         "one message in ten, and one in five, is lost for five minutes: no false death",
         MEMBERS + "test_no_false_death_while_messages_are_lost",
-        Mutant("trackwheel/fleet/membership.py", "        self._insist(now)\n", ""),
+        Mutant("trackwheel/fleet/membership.py", "        self._probe_suspects(now)\n", ""),
     ),
     Row(
         FLEET,
@@ -559,7 +559,7 @@
         MEMBERS + "test_no_false_death_while_messages_are_lost",
         Mutant(
             "trackwheel/fleet/membership.py",
-            "            self._renew_own(self._own.status, member.incarnation + 1)",
+            "            self._update_own(self._own.status, member.incarnation + 1)",
             "            pass",
         ),
     ),
@@ -570,7 +570,7 @@
         MEMBERS + "test_split_fleet_heals",
         Mutant(
             "trackwheel/fleet/membership.py",
-            "            self._greet_seed()\n",
+            "            self._contact_seed()\n",
             "",
         ),
     ),
@@ -581,7 +581,7 @@
         MEMBERS + "test_one_way_cut_does_not_kill_by_hearsay",
         Mutant(
             "trackwheel/fleet/membership.py",
-            "            self._ask_helpers(sequence, address)\n",
+            "            self._request_indirect_probes(sequence, address)\n",
             "pass",
         ),
     ),
--- a/trackwheel/fleet/__init__.py
+++ b/trackwheel/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Who is here, who is leaving, and which box owns which target."""
+"""Fleet membership, leaving targets, and the assignment of targets to the boxes that own them."""
--- a/trackwheel/fleet/errors.py
+++ b/trackwheel/fleet/errors.py
@@ -4,4 +4,4 @@
 
 
 class BoxListError(TrackwheelError):
-    """Say that the platform's box list could not be read."""
+    """The box list of the platform could not be read."""
--- a/trackwheel/fleet/rumours.py
+++ b/trackwheel/fleet/gossip.py
@@ -1,17 +1,17 @@
-"""Rumours that ride on other messages, each a bounded number of times."""
+"""Updates that ride on other messages, each a bounded number of times."""
 
 import math
 from collections.abc import Hashable
 from typing import Generic, TypeVar
 
-from trackwheel.fleet.const import MAX_RUMOURS_PER_MESSAGE
+from trackwheel.fleet.const import MAX_UPDATES_PER_MESSAGE
 
 K = TypeVar("K", bound=Hashable)
 V = TypeVar("V")
 
 
-class Rumours(Generic[K, V]):
-    """Keep what is still to be told, the least told first."""
+class GossipQueue(Generic[K, V]):
+    """Keep the updates that are still to be sent, the least sent first."""
 
     def __init__(self, sends_per_doubling: int) -> None:
         self._sends_per_doubling = sends_per_doubling
@@ -21,16 +21,16 @@
         return len(self._value_and_sends_by_key)
 
     def add(self, key: K, value: V) -> None:
-        """Start telling a value; it replaces an older one under the same key."""
+        """Queue an update; it replaces an older one under the same key."""
         self._value_and_sends_by_key[key] = (value, 0)
 
     def take(self, fleet_size: int) -> list[V]:
-        """Return what the next message should carry."""
+        """Return the updates for the next message."""
         if not self._value_and_sends_by_key:
             return []
         limit = self._sends_per_doubling * max(1, math.ceil(math.log2(fleet_size + 1)))
         waiting = sorted(self._value_and_sends_by_key.items(), key=lambda item: item[1][1])
-        chosen = waiting[:MAX_RUMOURS_PER_MESSAGE]
+        chosen = waiting[:MAX_UPDATES_PER_MESSAGE]
         for key, (value, sends) in chosen:
             if sends + 1 >= limit:
                 del self._value_and_sends_by_key[key]
--- a/trackwheel/fleet/models.py
+++ b/trackwheel/fleet/models.py
@@ -1,11 +1,11 @@
-"""What boxes know of one another, and the messages by which they learn it."""
+"""Records of members, and the messages of the membership protocol."""
 
 from enum import IntEnum
 from typing import NamedTuple
 
 
 class Status(IntEnum):
-    """Order the states of a member; of two records with one incarnation the higher one wins."""
+    """The states of a member; of two records with one incarnation the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -14,9 +14,9 @@
 
 
 class Member(NamedTuple):
-    """Record one box at one address; a higher incarnation always wins.
+    """The record of the box at an address; a higher incarnation always wins.
 
-    `speed` is how fast its processor is, in cores.
+    `speed` is the speed of its processor, in cores.
     """
 
     address: str
@@ -30,32 +30,32 @@
 
 
 class LeavingTarget(NamedTuple):
-    """Say that a target, in one boot of it, is leaving and takes no new work."""
+    """A target that is leaving, in one boot of it, and takes no new work."""
 
     address: str
     target_boot: str
 
 
 class Probe(NamedTuple):
-    """Ask a box whether it is alive, and carry rumours to it."""
+    """Ask a box whether it is alive; carries gossip."""
 
     sequence: int
     sender: Member
     digest: int
     files_revision: int
-    rumours: list[Member]
-    notes: list[LeavingTarget]
+    updates: list[Member]
+    leaving_targets: list[LeavingTarget]
 
 
 class Ack(NamedTuple):
-    """Answer a probe."""
+    """Answer a probe; carries gossip."""
 
     sequence: int
     sender: Member
     digest: int
     files_revision: int
-    rumours: list[Member]
-    notes: list[LeavingTarget]
+    updates: list[Member]
+    leaving_targets: list[LeavingTarget]
 
 
 class ProbeRequest(NamedTuple):
@@ -66,26 +66,26 @@
 
 
 class ProbeReport(NamedTuple):
-    """Say that the third box answered."""
+    """Report that the third box answered."""
 
     sequence: int
     subject: str
 
 
 class SyncRequest(NamedTuple):
-    """Offer the digests of all buckets of members; the peer answers with what differs."""
+    """Send the digests of all buckets of members; the peer answers with the records that differ."""
 
     sender: Member
     bucket_digests: list[int]
-    notes: list[LeavingTarget]
+    leaving_targets: list[LeavingTarget]
 
 
 class SyncReply(NamedTuple):
-    """Give the records of some buckets and ask for the peer's records of others."""
+    """Send the records of some buckets and request those of others."""
 
     members: list[Member]
     wanted_buckets: list[int]
-    notes: list[LeavingTarget]
+    leaving_targets: list[LeavingTarget]
 
 
 FLEET_MESSAGES = (Probe, Ack, ProbeRequest, ProbeReport, SyncRequest, SyncReply)
@@ -99,26 +99,26 @@
 
 
 class MembersChanged(NamedTuple):
-    """Command: tell the other duties that the view of the fleet is another one."""
+    """Command: notify the other services of a changed view of the fleet."""
 
     members: tuple[Member, ...]
 
 
 class PeerRevision(NamedTuple):
-    """Command: tell the files duty which revision a peer has in force."""
+    """Command: notify the files service of the revision that a peer has in force."""
 
     address: str
     revision: int
 
 
 class LeavingTargetsLearned(NamedTuple):
-    """Command: tell the other duties of targets that are leaving."""
+    """Command: notify the other services of targets that are leaving."""
 
-    notes: tuple[LeavingTarget, ...]
+    leaving_targets: tuple[LeavingTarget, ...]
 
 
 class Rejoined(NamedTuple):
-    """Command: tell the other duties that this box was away (seconds)."""
+    """Command: notify the other services that this process was paused (seconds)."""
 
     paused_s: float
 
--- a/trackwheel/fleet/service.py
+++ b/trackwheel/fleet/service.py
@@ -102,9 +102,9 @@
         """Say to the fleet that this box is leaving."""
         self._inbox.put(lambda now: self._membership.leave())
 
-    def report_leaving(self, note: LeavingTarget) -> None:
+    def report_leaving(self, leaving_target: LeavingTarget) -> None:
         """Tell the fleet that a target is leaving."""
-        self._inbox.put(lambda now: self._membership.announce_leaving_target(note, now))
+        self._inbox.put(lambda now: self._membership.announce_leaving_target(leaving_target, now))
 
     def boot_address(self, boot: str) -> str | None:
         """Return the address of the member with a boot, None when there is none."""
@@ -214,9 +214,9 @@
                 case PeerRevision(address, revision):
                     for on_revision in self._on_revision:
                         on_revision(address, revision)
-                case LeavingTargetsLearned(notes):
+                case LeavingTargetsLearned(leaving_targets):
                     for on_leaving_targets in self._on_leaving_targets:
-                        on_leaving_targets(notes)
+                        on_leaving_targets(leaving_targets)
                 case Rejoined(paused_s):
                     self.rejoins += 1
                     LOG.warning(f"This box was away for {paused_s:.1f} s. It joins again.")
