--- a/tests/fleet/test_ownership.py
+++ b/tests/fleet/test_ownership.py
@@ -1,4 +1,4 @@
-"""Ownership: the target's region first, replicas apart, few owners, few moves."""
+"""Ownership: the target's region first, replicas in different domains, few owners, few moves."""
 
 import random
 
@@ -86,11 +86,11 @@
                     owner = owner_map.owner(spec, target.address)
                     assert owner is not None
                     assert owner.address == fresh[target.address].address
-    assert owner_map.ranked_anew < 0.2 * steps * len(specs) * len(REGIONS)
+    assert owner_map.reranked < 0.2 * steps * len(specs) * len(REGIONS)
 
 
 def place(number: int, shape: str) -> Member:
-    """Return a box in a fleet of some shape."""
+    """Return a box in a fleet of the given shape."""
     region = {"one-region": "muc", "two-of-three-regions": REGIONS[number % 2]}.get(
         shape, REGIONS[number % 3]
     )
