--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -1,4 +1,4 @@
-"""The table of members: its digest and its rings follow every record that comes and goes."""
+"""The table of members: its digest and its rings match its records after every change."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 def expected_successors(own: str, present: list[str]) -> list[str]:
-    """Return the next on each ring, found by looking at everybody."""
+    """Return the next on each ring, found by a search of all members."""
     found: list[str] = []
     for ring in range(PROBE_RINGS):
         rest = [address for address in present if address != own and address not in found]
--- a/trackwheel/fleet/members.py
+++ b/trackwheel/fleet/members.py
@@ -1,4 +1,4 @@
-"""The table of members with its digests; it only ever moves to newer records."""
+"""The table of members with its digests; a record is only ever replaced by a newer one."""
 
 from bisect import bisect_left, bisect_right, insort
 from functools import lru_cache
@@ -10,7 +10,7 @@
 from trackwheel.fleet.const import PROBE_RINGS, SYNC_BUCKETS
 from trackwheel.fleet.models import Member, Status
 
-POSITIONS_KEPT: Final = 32_768
+RING_POSITION_CACHE_SIZE: Final = 32_768
 
 
 def _hash_member(member: Member) -> int:
@@ -18,40 +18,42 @@
     return int(xxhash.xxh32_intdigest(text.encode()))
 
 
-@lru_cache(maxsize=POSITIONS_KEPT)
+@lru_cache(maxsize=RING_POSITION_CACHE_SIZE)
 def ring_position(address: str, ring: int = 0) -> int:
-    """Return where a box stands on one of the rings that say who probes whom."""
+    """Return the position of a box on one of the rings that decide who probes whom."""
     return int(xxhash.xxh64_intdigest(address.encode(), seed=ring))
 
 
 class Rings:
-    """Keep addresses in the order of some rings, so that the next one is found at once.
+    """Keep addresses sorted by their positions on some rings, for a fast search of the successor.
 
-    Several rings in different orders make a graph in which news reach every box in a number
-    of steps that grows with the logarithm of the fleet; on one ring it would grow with it.
+    Several rings in different orders form a graph in which updates reach every box in a number of
+    steps that grows with the logarithm of the fleet; on one ring it would grow linearly.
     """
 
     def __init__(self, rings: int) -> None:
-        self._places_by_ring: list[list[tuple[int, str]]] = [[] for _ in range(rings)]
+        self._positions_by_ring: list[list[tuple[int, str]]] = [[] for _ in range(rings)]
 
     def add(self, address: str) -> None:
-        """Take an address that is not there yet."""
-        for ring, places in enumerate(self._places_by_ring):
-            insort(places, (ring_position(address, ring), address))
+        """Add an address that is not present."""
+        for ring, positions in enumerate(self._positions_by_ring):
+            insort(positions, (ring_position(address, ring), address))
 
     def remove(self, address: str) -> None:
-        """Drop an address that is there."""
-        for ring, places in enumerate(self._places_by_ring):
-            del places[bisect_left(places, (ring_position(address, ring), address))]
+        """Remove an address that is present."""
+        for ring, positions in enumerate(self._positions_by_ring):
+            del positions[bisect_left(positions, (ring_position(address, ring), address))]
 
     def successors(self, own: str) -> list[str]:
-        """Return the next address after one's own on each ring, without repeats."""
+        """Return the successor of an address on each ring, without duplicates."""
         found: list[str] = []
-        for ring, places in enumerate(self._places_by_ring):
-            start = bisect_right(places, (ring_position(own, ring), own))
-            following = (places[(start + step) % len(places)][1] for step in range(len(places)))
-            fresh = (address for address in following if address != own and address not in found)
-            found.extend(islice(fresh, 1))
+        for ring, positions in enumerate(self._positions_by_ring):
+            start = bisect_right(positions, (ring_position(own, ring), own))
+            following = (
+                positions[(start + step) % len(positions)][1] for step in range(len(positions))
+            )
+            unseen = (address for address in following if address != own and address not in found)
+            found.extend(islice(unseen, 1))
         return found
 
 
@@ -80,7 +82,7 @@
         return self._digest
 
     def is_present(self, address: str) -> bool:
-        """Return whether an address has a member that is not dead."""
+        """Return whether the member at an address is known and not dead."""
         member = self.member_by_address.get(address)
         return member is not None and member.status is not Status.DEAD
 
@@ -89,7 +91,7 @@
         return self._rings.successors(own)
 
     def merge(self, member: Member) -> bool:
-        """Take a record if it is newer; return whether it was."""
+        """Merge a record if it is newer; return whether it was."""
         old = self.member_by_address.get(member.address)
         if not supersedes(member, old):
             return False
@@ -98,16 +100,16 @@
             self._toggle(old)
         self.member_by_address[member.address] = member
         self._toggle(member)
-        self._keep_rings(member.address, was_present)
+        self._update_rings(member.address, was_present)
         return True
 
     def remove(self, address: str) -> None:
-        """Forget a record."""
+        """Remove a record."""
         was_present = self.is_present(address)
         self._toggle(self.member_by_address.pop(address))
-        self._keep_rings(address, was_present)
+        self._update_rings(address, was_present)
 
-    def _keep_rings(self, address: str, was_present: bool) -> None:
+    def _update_rings(self, address: str, was_present: bool) -> None:
         present = self.is_present(address)
         if present and not was_present:
             self._rings.add(address)
@@ -130,7 +132,7 @@
         return ring_position(address) % SYNC_BUCKETS
 
     def _toggle(self, member: Member) -> None:
-        # Dead records leave each table at its own time, so digests pass over them.
+        # Each table drops dead records at its own time, so the digests do not include them.
         if member.status is not Status.DEAD:
             self.bucket_digests[self._bucket(member.address)] ^= _hash_member(member)
             self._digest = None
--- a/trackwheel/fleet/service.py
+++ b/trackwheel/fleet/service.py
@@ -1,4 +1,4 @@
-"""The task that owns the membership, and what the other duties ask of it."""
+"""The task that runs the membership protocol, and its interface for the other services."""
 
 from collections.abc import Callable
 from functools import partial
@@ -39,15 +39,15 @@
 
 LOG = Log("fleet")
 
-LAST_PLACE: Final = 2**64 - 1
-"""Largest place on a ring: all boxes of a domain watch that has none able to."""
+MAX_RING_POSITION: Final = 2**64 - 1
+"""Largest position on a ring: where no box of a domain can watch, all of them count as watchers."""
 
-Decide = Callable[[float], list[FleetCommand]]
-"""An event: it takes the time and changes the membership."""
+Decision = Callable[[float], list[FleetCommand]]
+"""An event: called with the current time, it changes the membership."""
 
 
 class FleetService:
-    """Run the membership's decisions and answer who owns what."""
+    """Run the membership protocol and answer which box owns which target."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         self._box_list = box_list
         self._watchers_per_domain = watchers_per_domain
         self._membership = Membership(own, timing, seed)
-        self._inbox: Inbox[Decide] = Inbox()
+        self._inbox: Inbox[Decision] = Inbox()
         self._owners = OwnerMap()
         self._reachable_until = 0.0
         self._unreachable_until_by_address: dict[str, float] = {}
@@ -79,15 +79,15 @@
 
     @property
     def monitored(self) -> tuple[str, ...]:
-        """Return the boxes that this box probes and pushes news to."""
+        """Return the boxes that this box probes and sends updates to."""
         return self._membership.monitored
 
     def on_members(self, handler: Callable[[tuple[Member, ...]], None]) -> None:
-        """Call a handler whenever the view of the fleet is another one."""
+        """Call a handler whenever the view of the fleet changes."""
         self._on_members.append(handler)
 
     def on_revision(self, handler: Callable[[str, int], None]) -> None:
-        """Call a handler with each revision that a peer says it has in force."""
+        """Call a handler with each revision that a peer has in force."""
         self._on_revision.append(handler)
 
     def on_leaving_targets(self, handler: Callable[[tuple[LeavingTarget, ...]], None]) -> None:
@@ -95,29 +95,29 @@
         self._on_leaving_targets.append(handler)
 
     def set_files_revision(self, revision: int) -> None:
-        """Take the revision that this box has in force."""
+        """Set the revision that this box has in force."""
         self._membership.set_files_revision(revision)
 
     def leave(self) -> None:
-        """Say to the fleet that this box is leaving."""
+        """Announce to the fleet that this box is leaving."""
         self._inbox.put(lambda now: self._membership.leave())
 
     def report_leaving(self, leaving_target: LeavingTarget) -> None:
-        """Tell the fleet that a target is leaving."""
+        """Announce to the fleet that a target is leaving."""
         self._inbox.put(lambda now: self._membership.announce_leaving_target(leaving_target, now))
 
     def boot_address(self, boot: str) -> str | None:
-        """Return the address of the member with a boot, None when there is none."""
+        """Return the address of the member with a boot, None if there is none."""
         return next((m.address for m in self.members if m.boot == boot), None)
 
     def owner(self, service: ServiceSpec, target: str) -> Member | None:
-        """Return the box that owns a target, None when nobody does."""
+        """Return the box that owns a target, None if there is none."""
         if steady_now() >= self._reachable_until:
             self._owners.set_members(self._reachable())
         return self._owners.owner(service, target)
 
     def pass_over(self, address: str) -> None:
-        """Give an unreachable box's targets to others for a while, as seen from here."""
+        """Assign the targets of an unreachable box to others for a while, as seen from here."""
         if address == self.own.address:
             return
         self._unreachable_until_by_address[address] = steady_now() + UNREACHABLE_S
@@ -129,20 +129,20 @@
 
     def watchers(self) -> tuple[Member, ...]:
         """Return the boxes that watch the store, as seen from here."""
-        places_by_domain: dict[str, list[int]] = {}
+        positions_by_domain: dict[str, list[int]] = {}
         for member in self.members:
             if may_own(member):
-                places = places_by_domain.setdefault(member.failure_domain, [])
-                places.append(ring_position(member.address))
-        last_place_by_domain = {
-            domain: max(nsmallest(self._watchers_per_domain, places))
-            for domain, places in places_by_domain.items()
+                positions = positions_by_domain.setdefault(member.failure_domain, [])
+                positions.append(ring_position(member.address))
+        last_position_by_domain = {
+            domain: max(nsmallest(self._watchers_per_domain, positions))
+            for domain, positions in positions_by_domain.items()
         }
         return tuple(
             member
             for member in self.members
             if ring_position(member.address)
-            <= last_place_by_domain.get(member.failure_domain, LAST_PLACE)
+            <= last_position_by_domain.get(member.failure_domain, MAX_RING_POSITION)
         )
 
     def domain_peers(self) -> list[str]:
@@ -160,24 +160,24 @@
         return [member.address for member in self.watchers() if member.failure_domain != domain]
 
     def watcher_predecessors(self, subject: Member) -> list[str]:
-        """Return the boxes of a member's domain that come before it as watchers.
+        """Return the boxes that precede a member in the order of watchers of its domain.
 
-        None for those that watch the store themselves; a box that leaves watches to its end.
+        Empty for the watchers themselves; a box that leaves stays a watcher until it stops.
         """
         if subject.status is Status.LEAVING and subject.address == self.own.address:
             return []
-        place = ring_position(subject.address)
+        position = ring_position(subject.address)
         before = [
             member.address
             for member in self.members
             if member.failure_domain == subject.failure_domain
             and may_own(member)
-            and ring_position(member.address) < place
+            and ring_position(member.address) < position
         ]
         return before if len(before) >= self._watchers_per_domain else []
 
     async def run(self) -> None:
-        """Decide and act until cancelled."""
+        """Run until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._read_box_list)
             while True:
@@ -219,10 +219,12 @@
                         on_leaving_targets(leaving_targets)
                 case Rejoined(paused_s):
                     self.rejoins += 1
-                    LOG.warning(f"This box was away for {paused_s:.1f} s. It joins again.")
+                    LOG.warning(
+                        f"This box was away for {paused_s:.1f} s. It joins the fleet again."
+                    )
 
     def apply_members(self, members: tuple[Member, ...]) -> None:
-        """Take the view of the fleet as it is now and tell the other duties."""
+        """Set the current view of the fleet and notify the other services."""
         self._log_changes(members)
         self.members = members
         self.own = self._membership.own
@@ -231,22 +233,22 @@
             on_members(members)
 
     def _log_changes(self, members: tuple[Member, ...]) -> None:
-        """Log who came, went or changed; records that are the same objects are not looked at."""
+        """Log which members joined, left or changed; unchanged record objects are skipped."""
         before = self._member_by_address
         changed = [member for member in members if before.get(member.address) is not member]
         after = self._member_by_address = {member.address: member for member in members}
         for address in before.keys() - after.keys():
-            LOG.warning(f"Box {before[address].box_id} at {address} is gone.")
+            LOG.warning(f"Box {before[address].box_id} at {address} was removed from the fleet.")
         for member in changed:
             old = before.get(member.address)
             if old is None or old.boot != member.boot:
-                LOG.info(f"Box {member.box_id} at {member.address} is here.")
+                LOG.info(f"Box {member.box_id} at {member.address} has joined the fleet.")
             elif old.status is not member.status:
                 status = member.status.name.lower()
                 LOG.info(f"Box {member.box_id} at {member.address} is {status}.")
 
     async def _read_box_list(self) -> None:
-        """Read the platform's list while alone or one of the few that watch the platform."""
+        """Read the platform's box list while this box is alone or a watcher."""
         while True:
             if len(self.members) == 1 or self.is_watcher():
                 result = await self._box_list.read()
