--- a/tests/directory/memory_fleet.py
+++ b/tests/directory/memory_fleet.py
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         self.revision = 2
-        self.turned_away: set[str] = set()
+        self.rejected: set[str] = set()
         self.evacuated: dict[str, int] = {}
         self._updates: list[Evacuation] = []
         self._changed = asyncio.Event()
@@ -77,7 +77,7 @@
 
     @property
     def _reachable(self) -> bool:
-        return self._address not in self._store.turned_away
+        return self._address not in self._store.rejected
 
     async def read_operator_state(
         self, copy: bool = False
--- a/tests/directory/test_evacuations.py
+++ b/tests/directory/test_evacuations.py
@@ -108,45 +108,47 @@
     assert not evacuations.domains
 
 
-async def play_evacuation(fleet: MemoryFleet, turned_away: set[str]) -> tuple[float, float]:
+async def simulate_evacuation(fleet: MemoryFleet, turned_away: set[str]) -> tuple[float, float]:
     """Evacuate a domain and cancel it; return how long each took to reach the last box."""
     async with anyio.create_task_group() as tasks:
         await fleet.run(tasks)
         # Long enough for the watchers of each domain to be in sync.
         await anyio.sleep(0.8)
-        fleet.store.turned_away = turned_away
+        fleet.store.rejected = turned_away
         fleet.store.evacuate("a")
-        asked_s = await fleet.until_barred({"a"}, LIMIT_S)
+        evacuate_s = await fleet.until_barred({"a"}, LIMIT_S)
         fleet.store.evacuate("a", active=False)
-        back_s = await fleet.until_barred(set(), LIMIT_S)
+        cancel_s = await fleet.until_barred(set(), LIMIT_S)
         tasks.cancel_scope.cancel()
-    return asked_s, back_s
+    return evacuate_s, cancel_s
 
 
-NONE: set[str] = set()
+NO_BOXES: set[str] = set()
 FIRST_WATCHERS = {f"{domain}:0" for domain in DOMAINS[:3]}
-THIRD = {f"{domain}:{place}" for domain in DOMAINS[:2] for place in range(40)}
+THIRD_OF_BOXES = {f"{domain}:{place}" for domain in DOMAINS[:2] for place in range(40)}
 
 
 @pytest.mark.parametrize("boxes", [8, 60, 195])
 @pytest.mark.parametrize(
     ("turned_away", "loss"),
     [
-        pytest.param(NONE, 0.0, id="calm"),
-        pytest.param(NONE, 0.1, id="a-tenth-of-the-messages-lost"),
+        pytest.param(NO_BOXES, 0.0, id="calm"),
+        pytest.param(NO_BOXES, 0.1, id="a-tenth-of-the-messages-lost"),
         pytest.param(FIRST_WATCHERS, 0.0, id="watchers-of-half-of-the-domains-turned-away"),
-        pytest.param(THIRD, 0.0, id="a-third-of-the-boxes-turned-away"),
+        pytest.param(THIRD_OF_BOXES, 0.0, id="a-third-of-the-boxes-turned-away"),
     ],
 )
 def test_evacuation_is_in_force_at_every_box(
     boxes: int, turned_away: set[str], loss: float
 ) -> None:
     async def scenario() -> tuple[float, float]:
-        return await play_evacuation(MemoryFleet(boxes, loss), turned_away)
+        return await simulate_evacuation(MemoryFleet(boxes, loss), turned_away)
 
-    asked_s, back_s = anyio.run(scenario)
-    print(f"{boxes} boxes: evacuated after {asked_s * 1000:.0f} ms, back {back_s * 1000:.0f} ms")
-    assert max(asked_s, back_s) < LIMIT_S
+    evacuate_s, cancel_s = anyio.run(scenario)
+    print(
+        f"{boxes} boxes: evacuated after {evacuate_s * 1000:.0f} ms, back {cancel_s * 1000:.0f} ms"
+    )
+    assert max(evacuate_s, cancel_s) < LIMIT_S
 
 
 @pytest.mark.parametrize("store_is_away", [False, True], ids=["by-a-copy", "by-a-peer"])
@@ -161,8 +163,8 @@
             fleet.store.evacuate("b")
             await fleet.until_barred({"b"}, LIMIT_S)
             if store_is_away:
-                fleet.store.turned_away = {box.address for box in fleet.box_by_address.values()}
-                fleet.store.turned_away.add("a:2")
+                fleet.store.rejected = {box.address for box in fleet.box_by_address.values()}
+                fleet.store.rejected.add("a:2")
             late = fleet.add("a", 2)
             with anyio.fail_after(LIMIT_S):
                 while not late.directory.ready:
--- a/tests/directory/test_readings.py
+++ b/tests/directory/test_readings.py
@@ -19,26 +19,26 @@
 SEEDS = range(30)
 
 
-class Net:
+class Network:
     """Deliver messages between boxes at once, except those to be lost."""
 
     def __init__(self) -> None:
         self.box_by_address: dict[str, ReadingBox] = {}
-        self.loses: Callable[[], bool] = lambda: False
+        self.is_lost: Callable[[], bool] = lambda: False
 
     def deliver(self, sender: PeerIdentity, address: str, message: Any) -> None:
-        if address in self.box_by_address and not self.loses():
+        if address in self.box_by_address and not self.is_lost():
             self.box_by_address[address].handler_by_type[type(message)](sender, message)
 
 
 class ReadingBox:
     """The directory of one box, driven by reads that a test supplies."""
 
-    def __init__(self, net: Net, address: str, drain_s: float = 3.0) -> None:
+    def __init__(self, network: Network, address: str, drain_s: float = 3.0) -> None:
         self.identity = PeerIdentity(address, address, address, "r", "a")
         self.handler_by_type: dict[type[Any], Any] = {}
         self.targets = TargetDirectory({})
-        self._net = net
+        self._network = network
         self.service = DirectoryService(
             self,  # type: ignore[arg-type]
             FakeSource(),  # type: ignore[arg-type]
@@ -47,7 +47,7 @@
             FakeLog(),  # type: ignore[arg-type]
             drain_s,
         )
-        net.box_by_address[address] = self
+        network.box_by_address[address] = self
 
     def register(self, message_type: type[Any], handler: Any) -> None:
         """Register the handler for a type of message."""
@@ -55,10 +55,10 @@
 
     def send(self, address: str, message: Any) -> bool:
         """Send a message to another box."""
-        self._net.deliver(self.identity, address, message)
+        self._network.deliver(self.identity, address, message)
         return True
 
-    def reads(self, read: TargetsRead) -> int:
+    def apply_read(self, read: TargetsRead) -> int:
         """Apply a read of the store."""
         return self.service.apply_targets(read)
 
@@ -71,9 +71,9 @@
         self.handler_by_type[DirectoryBeacon](sender.identity, beacon)
 
 
-def make_boxes(net: Net, count: int, drain_s: float = 3.0) -> list[ReadingBox]:
+def make_boxes(network: Network, count: int, drain_s: float = 3.0) -> list[ReadingBox]:
     """Return boxes of which the first one reads the store and passes on what it read."""
-    boxes = [ReadingBox(net, f"box-{number}", drain_s) for number in range(count)]
+    boxes = [ReadingBox(network, f"box-{number}", drain_s) for number in range(count)]
     addresses = [box.identity.address for box in boxes]
     boxes[0].service.set_peers([], addresses[1:], [])
     for box in boxes[1:]:
@@ -97,18 +97,18 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_peers_hold_what_the_store_holds_whatever_changes_between_pages(seed: int) -> None:
-    store, net = PagedStore(seed), Net()
+    store, network = PagedStore(seed), Network()
     store.change(60)
-    reader, peer = make_boxes(net, 2)
+    reader, peer = make_boxes(network, 2)
 
     def changes() -> None:
         store.change(CHANGES_BETWEEN_PAGES)
 
     for _ in range(3):
-        after = reader.reads(store.read(changes))
+        after = reader.apply_read(store.read(changes))
         for _ in range(2):
             changes()
-            after = reader.reads(store.watch(after))
+            after = reader.apply_read(store.watch(after))
         assert present_targets(reader) == present(store)
         assert present_targets(peer) == present(store)
         assert peer.targets.digest.value == reader.targets.digest.value
@@ -121,26 +121,26 @@
     The box that reads restarts again and again without any earlier state, and half of its messages
     are lost, until at the end each peer gets one beacon.
     """
-    store, net = PagedStore(seed), Net()
+    store, network = PagedStore(seed), Network()
     store.change(60)
-    reader, *peers = make_boxes(net, 4)
-    net.loses = lambda: store.random.random() < 0.5
+    reader, *peers = make_boxes(network, 4)
+    network.is_lost = lambda: store.random.random() < 0.5
 
     def changes() -> None:
         store.change(CHANGES_BETWEEN_PAGES)
 
     for _ in range(4):
-        after = reader.reads(store.read(changes))
+        after = reader.apply_read(store.read(changes))
         for _ in range(2):
             changes()
-            after = reader.reads(store.watch(after))
+            after = reader.apply_read(store.watch(after))
             for peer in peers:
                 peer.receive_beacon(reader)
         changes()
-        reader = ReadingBox(net, reader.identity.address)
+        reader = ReadingBox(network, reader.identity.address)
         reader.service.set_peers([], [peer.identity.address for peer in peers], [])
-    net.loses = lambda: False
-    reader.reads(store.watch(reader.reads(store.read(changes))))
+    network.is_lost = lambda: False
+    reader.apply_read(store.watch(reader.apply_read(store.read(changes))))
     for peer in peers:
         peer.receive_beacon(reader)
         assert present_targets(peer) == present(store)
@@ -152,27 +152,27 @@
     seed: int,
 ) -> None:
     """The store is restored from a copy that is some changes old, and reuses its revisions."""
-    store, net = PagedStore(seed), Net()
+    store, network = PagedStore(seed), Network()
     store.change(60)
-    reader, peer = make_boxes(net, 2)
-    after = reader.reads(store.read(lambda: None))
+    reader, peer = make_boxes(network, 2)
+    after = reader.apply_read(store.read(lambda: None))
     earlier = store.snapshot()
     store.change(30)
-    reader.reads(store.watch(after))
+    reader.apply_read(store.watch(after))
     known = present(store)
 
     store.restore(earlier)
-    reader.reads(store.read(lambda: None))
+    reader.apply_read(store.read(lambda: None))
     for box in (reader, peer):
         assert {name for name, leaving in present_targets(box).items() if not leaving} <= {
             name for name, leaving in known.items() if not leaving
         }
 
-    after = reader.reads(store.read(store.rewrite))
+    after = reader.apply_read(store.read(store.rewrite))
     store.rewrite()
-    after = reader.reads(store.watch(after))
+    after = reader.apply_read(store.watch(after))
     store.change(30)
-    reader.reads(store.watch(after))
+    reader.apply_read(store.watch(after))
     for box in (reader, peer):
         box.targets.expire(steady_now() + ENTRY_RETURN_S + ENTRY_PROPAGATION_S)
         assert present_targets(box) == present(store)
@@ -184,11 +184,11 @@
 
     Updates take no time here, so that the boxes differ for too long at once.
     """
-    store, net = PagedStore(1), Net()
+    store, network = PagedStore(1), Network()
     store.put("one-that-stays")
     store.put("one-that-leaves", leaving=True)
-    reader, peer = make_boxes(net, 2, drain_s=0.0)
-    reader.reads(store.read(lambda: None))
+    reader, peer = make_boxes(network, 2, drain_s=0.0)
+    reader.apply_read(store.read(lambda: None))
     peer.targets._drop(lost)
     assert present_targets(peer) != present(store)
     peer.receive_beacon(reader)
--- a/tests/directory/test_targets.py
+++ b/tests/directory/test_targets.py
@@ -248,7 +248,7 @@
     for update in UPDATES[:2]:
         watcher.apply(update, 0.0)
     assert directory.apply_copy([entry("a", 1), entry("b", 2)], 0.0)
-    assert directory.has_targets
+    assert directory.is_loaded
     assert directory.known_revision == 0
     assert directory.apply_push(watcher.changes_since(directory.known_revision, 0.0), 0.1)
     assert states(directory) == {"a": "leaving", "b": "ready"}
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1179,7 +1179,7 @@
         EVACUATED + "test_box_that_starts_knows_the_evacuation_with_its_targets",
         Mutant(
             "trackwheel/directory/service.py",
-            '        self._merge_evacuations(orders.evacuations, "copy")\n',
+            '        self._merge_evacuations(operator_state.evacuations, "copy")\n',
             "",
         ),
     ),
--- a/trackwheel/directory/service.py
+++ b/trackwheel/directory/service.py
@@ -83,7 +83,7 @@
     @property
     def ready(self) -> bool:
         """Return whether routes and targets are known."""
-        return self.table is not None and self._targets.has_targets
+        return self.table is not None and self._targets.is_loaded
 
     @property
     def evacuated(self) -> frozenset[str]:
@@ -187,14 +187,16 @@
             told=len(push.entries) + len(push.removed),
         )
 
-    def apply_copy(self, orders: OperatorStateRead, targets: TargetsRead) -> None:
+    def apply_copy(self, operator_state: OperatorStateRead, targets: TargetsRead) -> None:
         """Apply a copy of the store that may be some seconds old."""
-        if orders.table is not None:
+        if operator_state.table is not None:
             self._put_in_force(
-                orders.table, zlib.compress(orders.content, COMPRESSION_LEVEL), "copy"
+                operator_state.table,
+                zlib.compress(operator_state.content, COMPRESSION_LEVEL),
+                "copy",
             )
         # An evacuation that the copy lacks may be newer than the copy, so it cancels none.
-        self._merge_evacuations(orders.evacuations, "copy")
+        self._merge_evacuations(operator_state.evacuations, "copy")
         if self._targets.apply_copy(targets.entries, steady_now()):
             self._targets_changed("copy")
 
--- a/trackwheel/directory/store_reader.py
+++ b/trackwheel/directory/store_reader.py
@@ -47,7 +47,7 @@
     def apply_targets(self, read: TargetsRead) -> int:
         """Apply a read or changes; return the revision from which to continue the watch."""
 
-    def apply_copy(self, orders: OperatorStateRead, targets: TargetsRead) -> None:
+    def apply_copy(self, operator_state: OperatorStateRead, targets: TargetsRead) -> None:
         """Apply a copy that may be some seconds old."""
 
 
@@ -91,11 +91,11 @@
         if not self._election.is_starting(steady_now()):
             return
         self.calls += 2
-        orders = await self._source.read_operator_state(copy=True)
+        operator_state = await self._source.read_operator_state(copy=True)
         targets = await self._source.read_targets(copy=True)
-        match orders, targets:
-            case Success(orders_read), Success(targets_read):
-                self._listener.apply_copy(orders_read, targets_read)
+        match operator_state, targets:
+            case Success(operator_state_read), Success(targets_read):
+                self._listener.apply_copy(operator_state_read, targets_read)
             case (Failure(error), _) | (_, Failure(error)):
                 self._log.write("no_copy", reason=str(error))
 
--- a/trackwheel/directory/targets.py
+++ b/trackwheel/directory/targets.py
@@ -36,13 +36,13 @@
         the newest change it had seen never passed those on, and a leaving target got requests for
         as long as it lived.
         """
-        self._first_read_revision = 0
-        """The revision of the first complete read. Removals before it are unknown here, so a peer
-        that knows less is sent everything."""
+        self._first_complete_revision = 0
+        """The revision at which this box first knew everything. Earlier removals are unknown here,
+        so a peer that knows less is sent everything."""
 
     @property
-    def has_targets(self) -> bool:
-        """Return whether any target is known, possibly from a stale copy."""
+    def is_loaded(self) -> bool:
+        """Return whether targets have been received, possibly from a stale copy."""
         return self.known_revision > 0 or bool(self._record_by_instance)
 
     def awaits_returns(self, now: float) -> bool:
@@ -119,16 +119,16 @@
     def _advance_to(self, revision: int) -> None:
         """Record that all changes up to a revision are known."""
         if self.known_revision == 0:
-            self._first_read_revision = revision
+            self._first_complete_revision = revision
         self.known_revision = max(self.known_revision, revision)
 
     def changes_since(self, since: int, now: float) -> TargetsPush:
         """Return all changes after a revision, for a peer that knows those up to it.
 
-        A peer that knows less than this box did at its first read is sent everything: neither may
-        know of the removals between.
+        A peer that knows less than this box did at first is sent everything: neither may know of
+        the removals between.
         """
-        if since < self._first_read_revision:
+        if since < self._first_complete_revision:
             since = 0
         entries = [
             record.entry
--- a/trackwheel/fleet/const.py
+++ b/trackwheel/fleet/const.py
@@ -23,7 +23,7 @@
 """A box that did not run for this many probe periods joins the fleet again."""
 
 TARGETS_PER_OWNER: Final = 8
-LEAST_OWNERS: Final = 2
+MIN_OWNERS: Final = 2
 WATCHERS_PER_DOMAIN: Final = 2
 UNREACHABLE_S: Final = 2.0
 """How long a gateway skips an owner after its link broke."""
--- a/trackwheel/fleet/ownership.py
+++ b/trackwheel/fleet/ownership.py
@@ -8,7 +8,7 @@
 import xxhash
 
 from trackwheel.files.models import ServiceSpec, TargetSpec
-from trackwheel.fleet.const import LEAST_OWNERS, RESERVE_OWNERS, TARGETS_PER_OWNER
+from trackwheel.fleet.const import MIN_OWNERS, RESERVE_OWNERS, TARGETS_PER_OWNER
 from trackwheel.fleet.models import Member, Status
 
 
@@ -57,7 +57,7 @@
 
     seed: int
     region: str
-    wanted: int
+    owner_count: int
     remote: bool
     min_score: int
     ranked: tuple[_Ranked, ...]
@@ -91,29 +91,33 @@
     added_by_region: dict[str, list[Member]]
 
 
-def _pick_owners(ranked: list[_Ranked], wanted: int, complete: bool) -> tuple[Member, ...] | None:
+def _pick_owners(
+    ranked: list[_Ranked], owner_count: int, complete: bool
+) -> tuple[Member, ...] | None:
     """Return the owners, from two failure domains if possible; None if `ranked` is too short."""
-    group = [one.member for one in ranked[:wanted]]
-    if len(group) < wanted and not complete:
+    group = [one.member for one in ranked[:owner_count]]
+    if len(group) < owner_count and not complete:
         return None
     if len({member.failure_domain for member in group}) > 1:
         return tuple(group)
-    rest = (one.member for one in ranked[wanted:])
+    rest = (one.member for one in ranked[owner_count:])
     other = next((m for m in rest if m.failure_domain != group[0].failure_domain), None)
     if other is not None:
         return (*group[:-1], other)
     return tuple(group) if complete else None
 
 
-def _new_group(seed: int, wanted: int, region: str, eligible: Collection[Member]) -> OwnerGroup:
+def _new_group(
+    seed: int, owner_count: int, region: str, eligible: Collection[Member]
+) -> OwnerGroup:
     local = [member for member in eligible if member.region == region]
     ranked = _rank(seed, local or eligible)
-    members = _pick_owners(ranked, wanted, True)
-    assert members is not None, "all able members are known"
+    members = _pick_owners(ranked, owner_count, True)
+    assert members is not None, "all eligible members are known"
     last = next(place for place, one in enumerate(ranked) if one.member is members[-1])
-    kept = ranked[: max(wanted, last + 1) + RESERVE_OWNERS]
+    kept = ranked[: max(owner_count, last + 1) + RESERVE_OWNERS]
     min_score = kept[-1].score if len(kept) < len(ranked) else 0
-    return OwnerGroup(seed, region, wanted, not local, min_score, tuple(kept), members)
+    return OwnerGroup(seed, region, owner_count, not local, min_score, tuple(kept), members)
 
 
 def _update_group(group: OwnerGroup, change: MembersChange) -> OwnerGroup | None:
@@ -125,7 +129,7 @@
     remaining = [ranked for ranked in group.ranked if ranked.member not in removed]
     entering = [one for one in _rank(group.seed, added) if one.score >= group.min_score]
     ranked = sorted([*remaining, *entering], key=lambda one: one.score, reverse=True)
-    members = _pick_owners(ranked, group.wanted, group.min_score == 0) if ranked else None
+    members = _pick_owners(ranked, group.owner_count, group.min_score == 0) if ranked else None
     if members is None:
         return None
     return group._replace(ranked=tuple(ranked), members=members)
@@ -177,7 +181,7 @@
                 continue
             changed = _update_group(group, change)
             if changed is None:
-                changed = _new_group(group.seed, group.wanted, region, eligible)
+                changed = _new_group(group.seed, group.owner_count, region, eligible)
                 reranked += 1
             self.group_by_region[region] = changed
             self._up_to_date = False
@@ -237,7 +241,7 @@
 
 
 def _owner_count(targets: int) -> int:
-    return max(LEAST_OWNERS, math.ceil(targets / TARGETS_PER_OWNER))
+    return max(MIN_OWNERS, math.ceil(targets / TARGETS_PER_OWNER))
 
 
 def owners_of(service: ServiceSpec, members: Iterable[Member]) -> dict[str, Member]:
--- a/trackwheel/fleet/service.py
+++ b/trackwheel/fleet/service.py
@@ -42,7 +42,7 @@
 MAX_RING_POSITION: Final = 2**64 - 1
 """Largest position on a ring: where no box of a domain can watch, all of them count as watchers."""
 
-Decision = Callable[[float], list[FleetCommand]]
+FleetEvent = Callable[[float], list[FleetCommand]]
 """An event: called with the current time, it changes the membership."""
 
 
@@ -62,7 +62,7 @@
         self._box_list = box_list
         self._watchers_per_domain = watchers_per_domain
         self._membership = Membership(own, timing, seed)
-        self._inbox: Inbox[Decision] = Inbox()
+        self._inbox: Inbox[FleetEvent] = Inbox()
         self._owners = OwnerMap()
         self._reachable_until = 0.0
         self._unreachable_until_by_address: dict[str, float] = {}
@@ -183,7 +183,7 @@
             while True:
                 events = await self._inbox.take(self._membership.next_wake())
                 now = steady_now()
-                commands = [command for decide in events for command in decide(now)]
+                commands = [command for event in events for command in event(now)]
                 commands += self._membership.tick(now)
                 self._perform(commands)
 
