--- a/tests/directory/test_divergence.py
+++ b/tests/directory/test_divergence.py
@@ -21,7 +21,7 @@
         ),
     ],
 )
-def test_box_that_goes_on_differing_asks(
+def test_box_that_keeps_differing_asks(
     heard: list[tuple[float, str]], asks_at: list[float]
 ) -> None:
     detector = DivergenceDetector(2.0)
@@ -36,7 +36,7 @@
     assert asked == asks_at
 
 
-def test_it_never_asks_more_seldom_than_the_longest_patience() -> None:
+def test_it_asks_at_least_once_per_longest_interval() -> None:
     detector = DivergenceDetector(2.0)
     asked = [at for at in range(1000) if detector.record_mismatch(float(at))]
     assert max(later - earlier for earlier, later in pairwise(asked)) == MAX_RESYNC_INTERVAL_S
--- a/tests/directory/test_evacuations.py
+++ b/tests/directory/test_evacuations.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(5))), ids=str)
-def test_words_end_the_same_in_any_order(order: tuple[int, ...]) -> None:
+def test_updates_converge_in_any_order(order: tuple[int, ...]) -> None:
     evacuations = Evacuations()
     for place in order:
         evacuations.merge([UPDATES[place]])
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("evacuation", UPDATES, ids=str)
-def test_word_that_comes_twice_is_no_news(evacuation: Evacuation) -> None:
+def test_repeated_update_changes_nothing(evacuation: Evacuation) -> None:
     evacuations = Evacuations()
     assert evacuations.merge([evacuation])
     assert not evacuations.merge([evacuation])
@@ -55,7 +55,7 @@
         pytest.param(["b"], Evacuation("b", False, IN_ERA_2 + 1), set(), id="taken-back-since"),
     ],
 )
-def test_store_that_came_back_from_a_copy_says_nothing_of_known_domains(
+def test_restored_store_does_not_change_known_domains(
     listed: list[str], then: Evacuation | None, domains: set[str]
 ) -> None:
     """The restored store assigns its revision 3 again; the known state came with 5 to 9."""
@@ -72,7 +72,7 @@
     assert evacuations.domains == domains
 
 
-def test_later_reading_of_a_store_that_came_back_counts() -> None:
+def test_later_read_of_a_restored_store_counts() -> None:
     evacuations = Evacuations()
     evacuations.merge_snapshot([Evacuation("b", True, make_revision(1, 9))], make_revision(1, 9))
     evacuations.merge_snapshot([], IN_ERA_2)
@@ -91,7 +91,7 @@
         pytest.param([Evacuation("c", True, 10)], 10, {"c"}, id="another-one"),
     ],
 )
-def test_whole_reading_takes_back_what_it_lacks(
+def test_complete_read_cancels_what_it_lacks(
     listed: list[Evacuation], as_of: int, domains: set[str]
 ) -> None:
     evacuations = Evacuations()
@@ -100,7 +100,7 @@
     assert evacuations.domains == domains
 
 
-def test_older_word_of_a_peer_does_not_bring_an_evacuation_back() -> None:
+def test_older_update_of_a_peer_does_not_reactivate_an_evacuation() -> None:
     evacuations = Evacuations()
     evacuations.merge_snapshot([Evacuation("a", True, 5)], 6)
     evacuations.merge_snapshot([], 9)
--- a/tests/directory/test_readings.py
+++ b/tests/directory/test_readings.py
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_peers_lose_what_went_while_the_box_that_reads_was_another_one(seed: int) -> None:
+def test_peers_drop_targets_removed_while_another_box_read(seed: int) -> None:
     """Boxes that had missed a removal kept 45 removed targets for good.
 
     The box that reads restarts again and again without any earlier state, and half of its messages
--- a/tests/directory/test_service.py
+++ b/tests/directory/test_service.py
@@ -229,7 +229,7 @@
         return Success(TargetsRead(after, [], [], after + 1, self.left > 0))
 
 
-def test_watcher_that_was_cut_off_is_in_step_again_at_once() -> None:
+def test_watcher_that_lost_the_store_is_in_sync_again_at_once() -> None:
     """It read the changes in pages a second apart, which took six seconds."""
     source = ManyChanges(answers=4)
 
@@ -277,7 +277,7 @@
 
 
 @pytest.mark.parametrize("alone", [False, True], ids=["watcher-is-heard", "alone"])
-def test_box_that_starts_serves_by_a_copy_and_learns_the_rest_from_a_watcher(alone: bool) -> None:
+def test_starting_box_uses_a_stale_copy_and_gets_the_rest_from_a_watcher(alone: bool) -> None:
     """When 195 boxes start at once, each considers itself alone and would read everything."""
     source = CopyOnly()
 
--- a/tests/directory/test_store_outage.py
+++ b/tests/directory/test_store_outage.py
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("per_domain", [1, 10, 33], ids=["6-boxes", "60-boxes", "198-boxes"])
 @pytest.mark.parametrize("lasts_s", [3.7, 5.4, 20.0])
-def test_boxes_that_call_a_store_that_is_away_do_not_grow_with_the_fleet(
+def test_callers_of_an_unavailable_store_do_not_grow_with_the_fleet(
     per_domain: int, lasts_s: float
 ) -> None:
     outage = whole_outage(lasts_s)
@@ -196,7 +196,7 @@
         pytest.param(Outage(always, watcher_is_frozen_for_a_while), 2.6, 7, id="watcher-frozen"),
     ],
 )
-def test_somebody_in_step_is_heard_again_within_seconds(
+def test_box_in_sync_is_heard_of_again_within_seconds(
     outage: Outage, silent_s: float, most_callers: int
 ) -> None:
     """A box that hears of nobody in sync may learn too late that a target is leaving."""
--- a/tests/directory/test_sync_status.py
+++ b/tests/directory/test_sync_status.py
@@ -11,7 +11,7 @@
     [(10.0, False, 11.9, True), (10.0, False, 12.0, False), (10.0, True, 10.1, False)],
     ids=["answered-lately", "silent", "failed"],
 )
-def test_watch_is_in_step_while_the_store_answers_it(
+def test_watch_is_in_sync_while_the_store_answers_it(
     answered_at: float, failed: bool, now: float, in_sync: bool
 ) -> None:
     status = WatchStatus("targets", 2.0)
@@ -21,7 +21,7 @@
     assert status.in_sync(now) is in_sync
 
 
-def test_loss_and_return_are_told_once() -> None:
+def test_loss_and_return_are_reported_once() -> None:
     status = WatchStatus("targets", 2.0)
     told = [
         status.record_failure(),
@@ -53,7 +53,9 @@
         "another-peer-is-behind-too",
     ],
 )
-def test_box_that_stands_still_asks(steps: list[tuple[int, int, bool, float]], asks: bool) -> None:
+def test_box_that_makes_no_progress_asks(
+    steps: list[tuple[int, int, bool, float]], asks: bool
+) -> None:
     lag = LagDetector(1.0)
     answers = [lag.should_ask(*step) for step in steps]
     assert answers[-1] is asks
@@ -88,7 +90,7 @@
         ),
     ],
 )
-def test_box_is_in_step_with_a_peer_that_it_has_caught_up_with(
+def test_box_is_in_sync_through_a_peer_that_it_has_caught_up_with(
     heard: list[tuple[str, int, int, float]], moved: list[SyncPosition], now: float, synced_via: str
 ) -> None:
     status = PeerSync()
--- a/tests/directory/test_targets.py
+++ b/tests/directory/test_targets.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(4))), ids=str)
-def test_news_end_the_same_in_any_order(order: tuple[int, ...]) -> None:
+def test_updates_converge_in_any_order(order: tuple[int, ...]) -> None:
     directory = make_directory()
     for place in order:
         directory.apply(UPDATES[place], 0.0)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("twice", range(4))
-def test_news_that_come_twice_change_nothing(twice: int) -> None:
+def test_repeated_updates_change_nothing(twice: int) -> None:
     directory = make_directory()
     for update in UPDATES:
         directory.apply(update, 0.0)
@@ -57,7 +57,7 @@
     assert target.place == ("region", "a")
 
 
-def test_leaving_target_that_went_is_dropped_at_once() -> None:
+def test_leaving_target_that_was_removed_is_dropped_at_once() -> None:
     directory = make_directory()
     directory.apply(UPDATES[0], 0.0)
     directory.apply(UPDATES[1], 0.0)
@@ -65,7 +65,7 @@
     assert states(directory) == {"b": "ready"}
 
 
-def test_entry_that_went_without_notice_is_a_last_resort_for_a_while() -> None:
+def test_entry_removed_without_notice_is_a_last_resort_for_a_while() -> None:
     directory = make_directory()
     directory.apply(UPDATES[0], 0.0)
     directory.apply(TargetsRead(2, [], [EntryRemoved("a", 3)], 3), 1.0)
@@ -90,7 +90,7 @@
     return directory
 
 
-def test_entries_that_lapsed_with_the_store_are_used_until_they_are_back() -> None:
+def test_entries_that_expired_in_an_outage_are_used_until_they_return() -> None:
     """As last resorts they left 87 shards without a target to plan with: queries were given up."""
     directory = after_an_outage()
     assert states(directory) == {"a": "ready", "b": "ready"}
@@ -102,7 +102,7 @@
     assert states(directory) == {"a": "ready"}
 
 
-def test_lapse_that_a_watch_tells_of_counts_as_one_that_a_reading_shows() -> None:
+def test_expiry_seen_by_a_watch_counts_like_one_seen_by_a_read() -> None:
     directory = make_directory()
     directory.apply(UPDATES[0], 0.0)
     directory.store_lost()
@@ -112,7 +112,7 @@
     assert directory.next_expiry() == HOLD_ENDS_AT
 
 
-def test_peer_that_only_hears_of_a_lapse_holds_the_target_as_long() -> None:
+def test_peer_that_learns_of_the_expiry_keeps_the_target_as_long() -> None:
     """Boxes that do not read the store know nothing of its outage."""
     watcher, peer = after_an_outage(), make_directory()
     peer.apply(UPDATES[0], 0.0)
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("told_at", [HOLD_ENDS_AT, HOLD_ENDS_AT + 5.0])
-def test_lapse_that_is_told_later_is_a_loss(told_at: float) -> None:
+def test_expiry_learned_late_is_a_removal(told_at: float) -> None:
     """A box that lags must not give more time to a target that was removed."""
     watcher, peer = after_an_outage(), make_directory()
     watcher.expire(told_at)
@@ -131,7 +131,7 @@
     assert states(peer) == {"a": "doubtful", "b": "doubtful"}
 
 
-def test_leaving_target_that_lapsed_with_the_store_is_dropped_at_once() -> None:
+def test_leaving_target_that_expired_in_an_outage_is_dropped_at_once() -> None:
     directory = make_directory()
     directory.apply(UPDATES[0], 0.0)
     directory.apply(UPDATES[1], 0.0)
@@ -141,7 +141,7 @@
     assert states(directory) == {"b": "ready"}
 
 
-def test_full_reading_replaces_a_lost_history() -> None:
+def test_full_read_replaces_a_lost_history() -> None:
     directory = make_directory()
     directory.apply(UPDATES[0], 0.0)
     directory.apply(TargetsRead(None, [entry("b", 2), entry("d", 7)], [], 8), 1.0)
@@ -149,14 +149,14 @@
     assert directory.known_revision == 8
 
 
-def test_old_full_reading_takes_nothing_newer_away() -> None:
+def test_old_full_read_removes_nothing_newer() -> None:
     directory = make_directory()
     directory.apply(TargetsRead(4, [entry("n", 9)], [], 9), 0.0)
     directory.apply(TargetsRead(None, [entry("a", 1)], [], 5), 0.0)
     assert states(directory) == {"n": "ready", "a": "ready"}
 
 
-def test_all_changes_bring_a_newcomer_in_step() -> None:
+def test_all_changes_bring_a_new_peer_in_sync() -> None:
     old = make_directory()
     for update in UPDATES:
         old.apply(update, 0.0)
@@ -169,7 +169,7 @@
     assert new.known_revision == old.known_revision
 
 
-def test_heartbeats_without_a_change_are_no_news() -> None:
+def test_heartbeats_do_not_raise_the_known_revision() -> None:
     """Peers that were not sent them must not appear to lag: they would ask for everything."""
     directory = make_directory()
     directory.apply(UPDATES[0], 0.0)
@@ -178,7 +178,7 @@
     assert directory.known_revision == 2
 
 
-def test_peer_that_knows_of_a_loss_under_another_revision_is_in_step_after_one_answer() -> None:
+def test_peer_with_another_revision_of_a_removal_is_in_sync_after_one_answer() -> None:
     """A full read dates a removal later than the watch did."""
     by_watch, by_reading = make_directory(), make_directory()
     for directory in (by_watch, by_reading):
@@ -190,7 +190,7 @@
     assert by_watch.known_revision == by_reading.known_revision
 
 
-def test_repeated_entry_without_change_is_no_news() -> None:
+def test_repeated_entry_changes_nothing() -> None:
     directory = make_directory()
     directory.apply(UPDATES[0], 0.0)
     assert not directory.apply(TargetsRead(2, [entry("a", 6)], [], 6), 0.0)
@@ -242,7 +242,7 @@
     assert states(peer)["a"] == "leaving"
 
 
-def test_copy_serves_but_says_nothing_for_sure() -> None:
+def test_stale_copy_is_used_but_counts_as_incomplete() -> None:
     """Its pages may be of different ages: a change between them must still arrive."""
     directory, watcher = make_directory(), make_directory()
     for update in UPDATES[:2]:
--- a/tests/directory/test_watcher_election.py
+++ b/tests/directory/test_watcher_election.py
@@ -114,7 +114,7 @@
     assert election.should_watch(now) is watches
 
 
-def test_box_that_reads_leaves_that_only_to_one_before_it() -> None:
+def test_box_that_reads_stops_only_for_a_predecessor() -> None:
     """Two boxes that read and heard of each other both stopped, and nobody read for two seconds."""
     election = WatcherElection(0.0, OWN, True)
     election.set_predecessors(["w"])
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -7,13 +7,13 @@
 
 
 @pytest.mark.parametrize("count", [2, 3, 7, 40])
-def test_boxes_meet(count: int) -> None:
+def test_boxes_find_each_other(count: int) -> None:
     fleet = VirtualFleet(count)
     assert fleet.agree()
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_killed_box_is_gone_everywhere_within_two_seconds(seed: int) -> None:
+def test_killed_box_is_removed_everywhere_within_two_seconds(seed: int) -> None:
     fleet = VirtualFleet(7, seed=seed)
     fleet.stopped.add("10.0.0.3:82")
     fleet.run(fleet.now + 2.0)
@@ -28,7 +28,7 @@
     assert fleet.agree()
 
 
-def test_frozen_box_is_gone_then_returns_as_itself() -> None:
+def test_paused_box_is_removed_then_rejoins_as_itself() -> None:
     fleet = VirtualFleet(7)
     frozen = "10.0.0.2:82"
     fleet.stopped.add(frozen)
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("cut_for", [5.0, 100.0], ids=["short", "past-tombstones"])
-def test_split_fleet_heals(cut_for: float) -> None:
+def test_partitioned_fleet_heals(cut_for: float) -> None:
     fleet = VirtualFleet(8)
     left = {f"10.0.0.{number}:82" for number in range(4)}
     fleet.cut = lambda sender, receiver: (sender in left) != (receiver in left)
@@ -81,7 +81,7 @@
     assert fleet.agree()
 
 
-def test_one_way_cut_does_not_kill_by_hearsay() -> None:
+def test_one_way_partition_does_not_spread_a_false_death() -> None:
     fleet = VirtualFleet(7)
     prober = "10.0.0.0:82"
     subject = fleet.box_by_address[prober].monitored[0]
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 21))
-def test_note_of_a_leaving_target_is_everywhere_within_one_probe_period(seed: int) -> None:
+def test_leaving_target_is_known_everywhere_within_one_probe_period(seed: int) -> None:
     """A target leaves while its health page is wrong, so that one box learns it from an answer."""
     fleet = VirtualFleet(6, seed=seed)
     leaving_target = LeavingTarget("127.0.0.1:9", "boot")
@@ -109,7 +109,7 @@
     )
 
 
-def test_notes_of_leaving_targets_reach_everyone_and_newcomers() -> None:
+def test_leaving_targets_become_known_to_all_boxes_and_new_ones() -> None:
     fleet = VirtualFleet(7)
     leaving_target = LeavingTarget("127.0.0.1:9", "boot")
     box = fleet.box_by_address["10.0.0.0:82"]
--- a/tests/fleet/test_ownership.py
+++ b/tests/fleet/test_ownership.py
@@ -66,7 +66,7 @@
     assert moved <= 4 * owned + 4
 
 
-def test_owner_map_works_out_only_what_changed_and_agrees_with_a_fresh_look() -> None:
+def test_owner_map_updates_only_what_changed_and_matches_a_full_computation() -> None:
     pick = random.Random(5)
     fleet = {number: box(number) for number in range(60)}
     specs = [service(20, f"s{number}") for number in range(30)]
@@ -110,7 +110,7 @@
         "second-domain-is-rare",
     ],
 )
-def test_changes_step_by_step_lead_where_a_fresh_look_leads(shape: str, most: int) -> None:
+def test_incremental_changes_match_a_full_computation(shape: str, most: int) -> None:
     pick = random.Random(f"{shape} {most}")
     fleet: dict[int, Member] = {}
     spec = service(60)
@@ -144,7 +144,7 @@
         pytest.param("ASL", {0}, {1, 2}, id="a-suspect-one-still-owns"),
     ],
 )
-def test_passing_over_boxes_leaves_an_owner(
+def test_skipping_unreachable_boxes_leaves_an_owner(
     statuses: str, unreachable: set[int], kept: set[int]
 ) -> None:
     """A leaving box whose peers all paused for a moment refused every query."""
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -531,7 +531,7 @@
         FLEET,
         MEMBERSHIP,
         "a killed box, seven boxes",
-        MEMBERS + "test_killed_box_is_gone_everywhere_within_two_seconds",
+        MEMBERS + "test_killed_box_is_removed_everywhere_within_two_seconds",
         Mutant("trackwheel/fleet/membership.py", "        self._declare_dead(now)\n", ""),
     ),
     Row(
@@ -545,7 +545,7 @@
         FLEET,
         MEMBERSHIP,
         "a frozen box returns",
-        MEMBERS + "test_frozen_box_is_gone_then_returns_as_itself",
+        MEMBERS + "test_paused_box_is_removed_then_rejoins_as_itself",
         Mutant(
             "trackwheel/fleet/membership.py",
             "        self._commands.append(Rejoined(paused_s))\n",
@@ -567,7 +567,7 @@
         FLEET,
         MEMBERSHIP,
         "a region is cut off, past all tombstones, and heals",
-        MEMBERS + "test_split_fleet_heals",
+        MEMBERS + "test_partitioned_fleet_heals",
         Mutant(
             "trackwheel/fleet/membership.py",
             "            self._contact_seed()\n",
@@ -578,7 +578,7 @@
         FLEET,
         MEMBERSHIP,
         "a link is cut one way",
-        MEMBERS + "test_one_way_cut_does_not_kill_by_hearsay",
+        MEMBERS + "test_one_way_partition_does_not_spread_a_false_death",
         Mutant(
             "trackwheel/fleet/membership.py",
             "            self._request_indirect_probes(sequence, address)\n",
@@ -879,7 +879,7 @@
         PLATFORM,
         LEAVING,
         "news of targets in every order, and twice",
-        DIRECTORY + "test_news_end_the_same_in_any_order",
+        DIRECTORY + "test_updates_converge_in_any_order",
         Mutant(
             "trackwheel/directory/targets.py",
             "removal.revision >= entry.revision or is_older_write(entry, removal)",
@@ -890,7 +890,7 @@
         PLATFORM,
         LEAVING,
         "entries lapse while the store is away",
-        DIRECTORY + "test_entries_that_lapsed_with_the_store_are_used_until_they_are_back",
+        DIRECTORY + "test_entries_that_expired_in_an_outage_are_used_until_they_return",
         Mutant(
             "trackwheel/directory/targets.py",
             "doubtful=not record.present and not record.may_return",
@@ -901,7 +901,7 @@
         PLATFORM,
         LEAVING,
         "a box that is behind hears late of a target that lapsed for good",
-        DIRECTORY + "test_lapse_that_is_told_later_is_a_loss",
+        DIRECTORY + "test_expiry_learned_late_is_a_removal",
         Mutant(
             "trackwheel/directory/targets.py",
             "return max(0.0, record.remove_at - now) "
@@ -913,7 +913,7 @@
         PLATFORM,
         MEMBERSHIP,
         "the store goes for all boxes, at 6 to 198 of them",
-        OUTAGE + "test_boxes_that_call_a_store_that_is_away_do_not_grow_with_the_fleet",
+        OUTAGE + "test_callers_of_an_unavailable_store_do_not_grow_with_the_fleet",
         Mutant(
             "trackwheel/directory/watcher_election.py",
             "TAKEOVER_DELAY_S * 2.0**doublings",
@@ -924,7 +924,7 @@
         PLATFORM,
         IN_FORCE,
         "the store turns one, all or a third of the watchers away; one dies or freezes",
-        OUTAGE + "test_somebody_in_step_is_heard_again_within_seconds",
+        OUTAGE + "test_box_in_sync_is_heard_of_again_within_seconds",
         Mutant(
             "trackwheel/directory/sync_status.py",
             'return self._address if self.peer_age_s(now) < BEACON_LIFETIME_S else ""',
@@ -935,7 +935,7 @@
         PLATFORM,
         LEAVING,
         "a box starts by a copy of the store that is older than a target's notice",
-        DIRECTORY + "test_copy_serves_but_says_nothing_for_sure",
+        DIRECTORY + "test_stale_copy_is_used_but_counts_as_incomplete",
         Mutant(
             "trackwheel/directory/targets.py",
             "return any([self._merge(entry, now) for entry in entries])",
@@ -947,7 +947,7 @@
         MEMBERSHIP,
         "all boxes start at once, each knowing no other one yet",
         "tests/directory/test_service.py::"
-        "test_box_that_starts_serves_by_a_copy_and_learns_the_rest_from_a_watcher",
+        "test_starting_box_uses_a_stale_copy_and_gets_the_rest_from_a_watcher",
         Mutant(
             "trackwheel/directory/watcher_election.py",
             "now + (0.0 if first else START_SETTLE_S)",
@@ -1165,7 +1165,7 @@
         PLATFORM,
         EVACUATION,
         "words in any order",
-        EVACUATED + "test_words_end_the_same_in_any_order",
+        EVACUATED + "test_updates_converge_in_any_order",
         Mutant(
             "trackwheel/directory/evacuations.py",
             "known.revision >= evacuation.revision",
@@ -1441,7 +1441,7 @@
         PLATFORM,
         LEAVING,
         "an entry goes while the box that reads starts anew and half of its news are lost",
-        READINGS + "test_peers_lose_what_went_while_the_box_that_reads_was_another_one",
+        READINGS + "test_peers_drop_targets_removed_while_another_box_read",
         Mutant("trackwheel/directory/targets.py", "if push.since == 0:", "if False:"),
     ),
     Row(
@@ -1502,8 +1502,7 @@
         PLATFORM,
         SET_BACK,
         "evacuations that the copy lacks, or still has",
-        "tests/directory/test_evacuations.py::"
-        "test_store_that_came_back_from_a_copy_says_nothing_of_known_domains",
+        "tests/directory/test_evacuations.py::" "test_restored_store_does_not_change_known_domains",
         Mutant("trackwheel/directory/evacuations.py", "if self.after_restore:", "if False:"),
     ),
     Row(
