--- a/tests/directory/paged_store.py
+++ b/tests/directory/paged_store.py
@@ -104,7 +104,7 @@
         """Return the changes after a revision; raise `HistoryGoneError` for one of another era."""
         if era_of(after) != self.era:
             raise HistoryGoneError(Problem("history_gone", "watch", "store", "came back"))
-        news = [event for event in self._history if event.revision > after]
-        entries = [event for event in news if isinstance(event, TargetEntry)]
-        gone = [event for event in news if isinstance(event, EntryRemoved)]
-        return TargetsRead(after, entries, gone, self.revision)
+        events = [event for event in self._history if event.revision > after]
+        entries = [event for event in events if isinstance(event, TargetEntry)]
+        removals = [event for event in events if isinstance(event, EntryRemoved)]
+        return TargetsRead(after, entries, removals, self.revision)
--- a/tests/directory/test_service.py
+++ b/tests/directory/test_service.py
@@ -89,14 +89,14 @@
 def test_configuration_reaches_a_peer_whole_and_small() -> None:
     """Ten thousand routes must fit a link of 10 Mbit/s to each of ten peers within seconds."""
     watcher, hub, _ = make_service()
-    news = read(7, 4000)
-    watcher.apply_operator_state(news)
+    operator_state = read(7, 4000)
+    watcher.apply_operator_state(operator_state)
     ((address, push),) = hub.sent
     assert address == "10.0.0.2:1"
-    assert len(push.compressed) < len(news.content) / 8
+    assert len(push.compressed) < len(operator_state.content) / 8
     other, _, _ = make_service()
     other._receive_routes(PEER, push)
-    assert other.table == news.table
+    assert other.table == operator_state.table
 
 
 @pytest.mark.parametrize(
--- a/tests/directory/test_store_outage.py
+++ b/tests/directory/test_store_outage.py
@@ -157,19 +157,19 @@
     assert set(last_s) <= {f"{domain}/0" for domain in range(DOMAINS)}
 
 
-def watcher_is_turned_away(box: Box, now: float) -> bool:
+def watcher_is_rejected(box: Box, now: float) -> bool:
     return not (box.domain == 0 and box.first and in_outage(now, 10.0))
 
 
-def all_watchers_are_turned_away(box: Box, now: float) -> bool:
+def all_watchers_are_rejected(box: Box, now: float) -> bool:
     return not (box.first and in_outage(now, 10.0))
 
 
-def third_is_turned_away(box: Box, now: float) -> bool:
+def third_is_rejected(box: Box, now: float) -> bool:
     return not (box.place % 3 == 0 and in_outage(now, 10.0))
 
 
-def first_two_are_turned_away(box: Box, now: float) -> bool:
+def first_two_are_rejected(box: Box, now: float) -> bool:
     return not (box.place < 2 and in_outage(now, 10.0))
 
 
@@ -177,23 +177,23 @@
     return not (box.domain == 0 and box.first and now >= OUTAGE_START_S)
 
 
-def watcher_is_frozen_for_a_while(box: Box, now: float) -> bool:
+def watcher_is_paused_for_a_while(box: Box, now: float) -> bool:
     return not (box.domain == 0 and box.first and in_outage(now, 3.0))
 
 
 @pytest.mark.parametrize(
     ("outage", "silent_s", "most_callers"),
     [
-        pytest.param(Outage(watcher_is_turned_away, always), 1.0, 6, id="one-watcher-turned-away"),
+        pytest.param(Outage(watcher_is_rejected, always), 1.0, 6, id="one-watcher-turned-away"),
         pytest.param(
-            Outage(all_watchers_are_turned_away, always), 2.4, 12, id="all-watchers-turned-away"
+            Outage(all_watchers_are_rejected, always), 2.4, 12, id="all-watchers-turned-away"
         ),
         pytest.param(
-            Outage(first_two_are_turned_away, always), 4.8, 18, id="first-two-of-each-domain"
+            Outage(first_two_are_rejected, always), 4.8, 18, id="first-two-of-each-domain"
         ),
-        pytest.param(Outage(third_is_turned_away, always), 4.8, 18, id="a-third-turned-away"),
+        pytest.param(Outage(third_is_rejected, always), 4.8, 18, id="a-third-turned-away"),
         pytest.param(Outage(always, watcher_is_dead), 2.6, 7, id="watcher-dead"),
-        pytest.param(Outage(always, watcher_is_frozen_for_a_while), 2.6, 7, id="watcher-frozen"),
+        pytest.param(Outage(always, watcher_is_paused_for_a_while), 2.6, 7, id="watcher-frozen"),
     ],
 )
 def test_box_in_sync_is_heard_of_again_within_seconds(
--- a/tests/directory/test_sync_status.py
+++ b/tests/directory/test_sync_status.py
@@ -23,13 +23,13 @@
 
 def test_loss_and_return_are_reported_once() -> None:
     status = WatchStatus("targets", 2.0)
-    told = [
+    reported = [
         status.record_failure(),
         status.record_failure(),
         status.record_answer(1.0),
         status.record_answer(2.0),
     ]
-    assert told == [True, False, True, False]
+    assert reported == [True, False, True, False]
 
 
 @pytest.mark.parametrize(
--- a/tests/directory/test_watcher_election.py
+++ b/tests/directory/test_watcher_election.py
@@ -109,8 +109,8 @@
 ) -> None:
     election = WatcherElection(0.0, OWN, first)
     election.set_predecessors(before)
-    for word in words:
-        election.receive_beacon(word.address, word.synced_via, word.at)
+    for beacon in words:
+        election.receive_beacon(beacon.address, beacon.synced_via, beacon.at)
     assert election.should_watch(now) is watches
 
 
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -30,13 +30,13 @@
 
 def test_paused_box_is_removed_then_rejoins_as_itself() -> None:
     fleet = VirtualFleet(7)
-    frozen = "10.0.0.2:82"
-    fleet.stopped.add(frozen)
+    paused = "10.0.0.2:82"
+    fleet.stopped.add(paused)
     fleet.run(fleet.now + 5.0)
     assert fleet.agree()
-    fleet.stopped.discard(frozen)
+    fleet.stopped.discard(paused)
     fleet.run(fleet.now + 4.0)
-    assert fleet.rejoins == [frozen]
+    assert fleet.rejoins == [paused]
     assert fleet.agree()
 
 
