--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -9,7 +9,7 @@
 import pytest
 from returns.result import Failure, Result, Success
 
-from trackwheel.directory.models import EntryGone, TargetsRead
+from trackwheel.directory.models import EntryRemoved, TargetsRead
 from trackwheel.errors import TrackwheelError
 from trackwheel.platform.decode import decode_target
 from trackwheel.platform.store import StoreAnswer, StoreClient
@@ -142,7 +142,7 @@
     changes = anyio.run(store.watch_targets, 3, 0.0).unwrap()
     assert isinstance(changes, TargetsRead)
     assert [entry.instance for entry in changes.entries] == ["a"]
-    assert changes.gone == [EntryGone("b", 6), EntryGone("b", 7)]
+    assert changes.removed == [EntryRemoved("b", 6), EntryRemoved("b", 7)]
     assert log.keys == ["servers/b"]
 
 
@@ -151,7 +151,7 @@
     store = ToldStore(NoLog(), {"events": [broken, item("a", written(), 7)], "as_of": 7})
     changes = anyio.run(store.watch_targets, 3, 0.0).unwrap()
     assert [entry.instance for entry in changes.entries] == ["a"]
-    assert changes.gone == [EntryGone("b", 6)]
+    assert changes.removed == [EntryRemoved("b", 6)]
 
 
 CONFIG = {
@@ -183,8 +183,8 @@
         {"items": items[:1], "has_more": True, "as_of": 6},
         {"items": items[1:], "has_more": False, "as_of": 8},
     ]
-    read = anyio.run(ToldStore(log, *pages).read_orders).unwrap()
-    assert (read.as_of, read.whole) == (6, True)
+    read = anyio.run(ToldStore(log, *pages).read_operator_state).unwrap()
+    assert (read.as_of, read.complete) == (6, True)
     assert read.evacuations == (("halle-muc", True, 5),)
     assert (read.table is not None) is (config is CONFIG)
 
@@ -192,6 +192,6 @@
 def test_evacuation_that_is_taken_back_is_told() -> None:
     events = [orders("op/evacuate/a", {}, 5), orders("op/evacuate/a", None, 6)]
     store = ToldStore(NoLog(), {"events": events, "as_of": 6})
-    read = anyio.run(store.watch_orders, 4, 0.0).unwrap()
-    assert not read.whole
+    read = anyio.run(store.watch_operator_state, 4, 0.0).unwrap()
+    assert not read.complete
     assert read.evacuations == (("a", True, 5), ("a", False, 6))
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -57,7 +57,7 @@
 HTTP_TARGET = "tests/http1/test_client.py::"
 HTTP_CLIENT = "tests/http1/test_server.py::"
 DIRECTORY = "tests/directory/test_targets.py::"
-WATCHING = "tests/directory/test_watching.py::"
+WATCHING = "tests/directory/test_watcher_election.py::"
 OUTAGE = "tests/directory/test_store_outage.py::"
 NEWS = "tests/relay/test_news.py::"
 CRASHING = "tests/whole/test_crashing_request.py::"
@@ -531,24 +531,24 @@
         FLEET,
         MEMBERSHIP,
         "a killed box, seven boxes",
-        MEMBERS + "test_killed_box_is_gone_everywhere_within_two_seconds",
-        Mutant("trackwheel/fleet/membership.py", "        self._bury(now)\n", ""),
+        MEMBERS + "test_killed_box_is_removed_everywhere_within_two_seconds",
+        Mutant("trackwheel/fleet/membership.py", "        self._declare_dead(now)\n", ""),
     ),
     Row(
         FLEET,
         MEMBERSHIP,
         "one message in ten, and one in five, is lost for five minutes: no false death",
         MEMBERS + "test_no_false_death_while_messages_are_lost",
-        Mutant("trackwheel/fleet/membership.py", "        self._insist(now)\n", ""),
+        Mutant("trackwheel/fleet/membership.py", "        self._probe_suspects(now)\n", ""),
     ),
     Row(
         FLEET,
         MEMBERSHIP,
         "a frozen box returns",
-        MEMBERS + "test_frozen_box_is_gone_then_returns_as_itself",
+        MEMBERS + "test_paused_box_is_removed_then_rejoins_as_itself",
         Mutant(
             "trackwheel/fleet/membership.py",
-            "        self._commands.append(Rejoined(away_s))\n",
+            "        self._commands.append(Rejoined(paused_s))\n",
             "",
         ),
     ),
@@ -559,7 +559,7 @@
         MEMBERS + "test_no_false_death_while_messages_are_lost",
         Mutant(
             "trackwheel/fleet/membership.py",
-            "            self._renew_own(self._own.status, member.incarnation + 1)",
+            "            self._update_own(self._own.status, member.incarnation + 1)",
             "            pass",
         ),
     ),
@@ -567,10 +567,10 @@
         FLEET,
         MEMBERSHIP,
         "a region is cut off, past all tombstones, and heals",
-        MEMBERS + "test_split_fleet_heals",
+        MEMBERS + "test_partitioned_fleet_heals",
         Mutant(
             "trackwheel/fleet/membership.py",
-            "            self._greet_seed()\n",
+            "            self._contact_seed()\n",
             "",
         ),
     ),
@@ -578,10 +578,10 @@
         FLEET,
         MEMBERSHIP,
         "a link is cut one way",
-        MEMBERS + "test_one_way_cut_does_not_kill_by_hearsay",
+        MEMBERS + "test_one_way_partition_does_not_spread_a_false_death",
         Mutant(
             "trackwheel/fleet/membership.py",
-            "            self._ask_helpers(sequence, address)\n",
+            "            self._request_indirect_probes(sequence, address)\n",
             "pass",
         ),
     ),
@@ -710,7 +710,9 @@
         LEAVING,
         "a push of changes is lost with its link",
         DIRECTORY + "test_push_after_a_lost_one_leaves_a_gap_that_is_asked_for",
-        Mutant("trackwheel/directory/targets.py", "if self.newest >= push.since:", "if True:"),
+        Mutant(
+            "trackwheel/directory/targets.py", "if self.known_revision >= push.since:", "if True:"
+        ),
     ),
     Row(
         PLATFORM,
@@ -877,10 +879,10 @@
         PLATFORM,
         LEAVING,
         "news of targets in every order, and twice",
-        DIRECTORY + "test_news_end_the_same_in_any_order",
+        DIRECTORY + "test_updates_converge_in_any_order",
         Mutant(
             "trackwheel/directory/targets.py",
-            "gone.revision >= entry.revision or is_earlier_word(entry, gone)",
+            "removal.revision >= entry.revision or is_older_write(entry, removal)",
             "False",
         ),
     ),
@@ -888,21 +890,22 @@
         PLATFORM,
         LEAVING,
         "entries lapse while the store is away",
-        DIRECTORY + "test_entries_that_lapsed_with_the_store_are_used_until_they_are_back",
+        DIRECTORY + "test_entries_that_expired_in_an_outage_are_used_until_they_return",
         Mutant(
             "trackwheel/directory/targets.py",
-            "doubtful=not held.there and not held.lapsed",
-            "doubtful=not held.there",
+            "doubtful=not record.present and not record.may_return",
+            "doubtful=not record.present",
         ),
     ),
     Row(
         PLATFORM,
         LEAVING,
         "a box that is behind hears late of a target that lapsed for good",
-        DIRECTORY + "test_lapse_that_is_told_later_is_a_loss",
+        DIRECTORY + "test_expiry_learned_late_is_a_removal",
         Mutant(
             "trackwheel/directory/targets.py",
-            "return max(0.0, held.drop_at - now) if held is not None and held.lapsed else 0.0",
+            "return max(0.0, record.remove_at - now) "
+            "if record is not None and record.may_return else 0.0",
             "return 2.0",
         ),
     ),
@@ -910,17 +913,21 @@
         PLATFORM,
         MEMBERSHIP,
         "the store goes for all boxes, at 6 to 198 of them",
-        OUTAGE + "test_boxes_that_call_a_store_that_is_away_do_not_grow_with_the_fleet",
-        Mutant("trackwheel/directory/watching.py", "UNHEARD_S * 2.0**doublings", "UNHEARD_S"),
+        OUTAGE + "test_callers_of_an_unavailable_store_do_not_grow_with_the_fleet",
+        Mutant(
+            "trackwheel/directory/watcher_election.py",
+            "TAKEOVER_DELAY_S * 2.0**doublings",
+            "TAKEOVER_DELAY_S",
+        ),
     ),
     Row(
         PLATFORM,
         IN_FORCE,
         "the store turns one, all or a third of the watchers away; one dies or freezes",
-        OUTAGE + "test_somebody_in_step_is_heard_again_within_seconds",
+        OUTAGE + "test_box_in_sync_is_heard_of_again_within_seconds",
         Mutant(
-            "trackwheel/directory/in_step.py",
-            'return self._address if self.ago_s(now) < BEACON_LIFETIME_S else ""',
+            "trackwheel/directory/sync_status.py",
+            'return self._address if self.peer_age_s(now) < BEACON_LIFETIME_S else ""',
             'return ""',
         ),
     ),
@@ -928,11 +935,11 @@
         PLATFORM,
         LEAVING,
         "a box starts by a copy of the store that is older than a target's notice",
-        DIRECTORY + "test_copy_serves_but_says_nothing_for_sure",
+        DIRECTORY + "test_stale_copy_is_used_but_counts_as_incomplete",
         Mutant(
             "trackwheel/directory/targets.py",
             "return any([self._merge(entry, now) for entry in entries])",
-            "return any([self._note(self._merge(entry, now), 99) for entry in entries])",
+            "return any([self._track_change(self._merge(entry, now), 99) for entry in entries])",
         ),
     ),
     Row(
@@ -940,9 +947,9 @@
         MEMBERSHIP,
         "all boxes start at once, each knowing no other one yet",
         "tests/directory/test_service.py::"
-        "test_box_that_starts_serves_by_a_copy_and_learns_the_rest_from_a_watcher",
+        "test_starting_box_uses_a_stale_copy_and_gets_the_rest_from_a_watcher",
         Mutant(
-            "trackwheel/directory/watching.py",
+            "trackwheel/directory/watcher_election.py",
             "now + (0.0 if first else START_SETTLE_S)",
             "now",
         ),
@@ -987,9 +994,9 @@
         "tests/directory/test_service.py::"
         "test_peer_that_is_ahead_is_asked_while_the_own_watch_is_silent",
         Mutant(
-            "trackwheel/directory/in_step.py",
-            "return not in_step or now - self._behind_since >= self._patience_s",
-            "return not in_step",
+            "trackwheel/directory/sync_status.py",
+            "return not in_sync or now - self._behind_since >= self._timeout_s",
+            "return not in_sync",
         ),
     ),
     Row(
@@ -1092,7 +1099,7 @@
         IN_FORCE,
         "watchers fall silent, or the store turns them away",
         WATCHING + "test_few_boxes_read_the_store",
-        Mutant("trackwheel/directory/watching.py", "if not goes_by:", "if False:"),
+        Mutant("trackwheel/directory/watcher_election.py", "if not synced_via:", "if False:"),
     ),
     Row(
         PLATFORM,
@@ -1150,7 +1157,7 @@
         EVACUATED + "test_evacuation_is_in_force_at_every_box",
         Mutant(
             "trackwheel/directory/service.py",
-            "        self._take_evacuations(beacon.evacuations, sender.box_id)\n",
+            "        self._merge_evacuations(beacon.evacuations, sender.box_id)\n",
             "",
         ),
     ),
@@ -1158,10 +1165,10 @@
         PLATFORM,
         EVACUATION,
         "words in any order",
-        EVACUATED + "test_words_end_the_same_in_any_order",
+        EVACUATED + "test_updates_converge_in_any_order",
         Mutant(
             "trackwheel/directory/evacuations.py",
-            "known.revision >= word.revision",
+            "known.revision >= evacuation.revision",
             "False",
         ),
     ),
@@ -1172,7 +1179,7 @@
         EVACUATED + "test_box_that_starts_knows_the_evacuation_with_its_targets",
         Mutant(
             "trackwheel/directory/service.py",
-            '        self._take_evacuations(orders.evacuations, "copy")\n',
+            '        self._merge_evacuations(operator_state.evacuations, "copy")\n',
             "",
         ),
     ),
@@ -1434,7 +1441,7 @@
         PLATFORM,
         LEAVING,
         "an entry goes while the box that reads starts anew and half of its news are lost",
-        READINGS + "test_peers_lose_what_went_while_the_box_that_reads_was_another_one",
+        READINGS + "test_peers_drop_targets_removed_while_another_box_read",
         Mutant("trackwheel/directory/targets.py", "if push.since == 0:", "if False:"),
     ),
     Row(
@@ -1442,7 +1449,7 @@
         LEAVING,
         "a box has lost a change in a way that nobody knows of",
         READINGS + "test_box_that_lost_a_change_for_any_reason_is_told_everything",
-        Mutant("trackwheel/directory/service.py", "self._agreement.differs(now)", "False"),
+        Mutant("trackwheel/directory/service.py", "self._divergence.record_mismatch(now)", "False"),
     ),
     Row(
         PLATFORM,
@@ -1451,8 +1458,8 @@
         "tests/directory/test_store_outage.py::"
         "test_next_boxes_read_in_time_when_all_watchers_lose_the_store_at_once",
         Mutant(
-            "trackwheel/directory/watching.py",
-            "max(self._trusted_at, now - ago_s)",
+            "trackwheel/directory/watcher_election.py",
+            "max(self._trusted_at, now - synced_ago_s)",
             "now",
         ),
     ),
@@ -1462,14 +1469,20 @@
         "targets, evacuations, configurations and their changes, at boxes as processes",
         "tests/whole/test_store_goes_back.py::"
         "test_what_was_known_holds_until_it_is_written_again_and_what_is_written_counts",
-        Mutant("trackwheel/directory/revisions.py", "(era << _ERA_SHIFT) | own", "own"),
+        Mutant(
+            "trackwheel/directory/revisions.py",
+            "(era << _ERA_SHIFT) | store_revision",
+            "store_revision",
+        ),
     ),
     Row(
         PLATFORM,
         SET_BACK,
         "thirty seeds of changes that are lost, written again and followed by others",
         READINGS + "test_leaving_and_lost_targets_stay_so_while_the_store_is_older_than_its_boxes",
-        Mutant("trackwheel/directory/held.py", "return set_back and", "return False and"),
+        Mutant(
+            "trackwheel/directory/target_record.py", "return after_restore and", "return False and"
+        ),
     ),
     Row(
         PLATFORM,
@@ -1489,9 +1502,8 @@
         PLATFORM,
         SET_BACK,
         "evacuations that the copy lacks, or still has",
-        "tests/directory/test_evacuations.py::"
-        "test_store_that_came_back_from_a_copy_says_nothing_of_known_domains",
-        Mutant("trackwheel/directory/evacuations.py", "if self.doubtful:", "if False:"),
+        "tests/directory/test_evacuations.py::" "test_restored_store_does_not_change_known_domains",
+        Mutant("trackwheel/directory/evacuations.py", "if self.after_restore:", "if False:"),
     ),
     Row(
         PLATFORM,
--- a/trackwheel/dispatch/events.py
+++ b/trackwheel/dispatch/events.py
@@ -11,7 +11,7 @@
     Work,
 )
 from trackwheel.files.models import InForce
-from trackwheel.fleet.models import TargetNote
+from trackwheel.fleet.models import LeavingTarget
 
 
 class GatewayMessage(NamedTuple):
@@ -55,7 +55,7 @@
 class LeavingReported(NamedTuple):
     """Event: other boxes reported that targets are leaving."""
 
-    reports: tuple[TargetNote, ...]
+    reports: tuple[LeavingTarget, ...]
 
 
 Event = (
