--- a/trackwheel/dispatch/owner.py
+++ b/trackwheel/dispatch/owner.py
@@ -19,7 +19,7 @@
 from trackwheel.dispatch.target_scheduler import TargetScheduler
 from trackwheel.dispatch.wake_schedule import WakeSchedule
 from trackwheel.files.models import NOTHING_IN_FORCE, InForce, ServiceSpec
-from trackwheel.fleet.models import TargetNote
+from trackwheel.fleet.models import LeavingTarget
 
 
 class TargetState(NamedTuple):
@@ -40,7 +40,7 @@
         self._in_force = NOTHING_IN_FORCE
         self._targets_by_service: dict[str, tuple[ServiceSpec, frozenset[str]]] = {}
         self._scheduler_by_target: dict[str, TargetScheduler] = {}
-        self._leaving_report_by_target: dict[str, TargetNote] = {}
+        self._leaving_report_by_target: dict[str, LeavingTarget] = {}
         self._wake_schedule = WakeSchedule()
 
     def states(self, now: float) -> list[TargetState]:
@@ -171,7 +171,7 @@
             scheduler, scheduler.apply_health_page(reachable, boot, leaving, now)
         )
 
-    def apply_leaving_report(self, reports: tuple[TargetNote, ...]) -> list[DispatchCommand]:
+    def apply_leaving_report(self, reports: tuple[LeavingTarget, ...]) -> list[DispatchCommand]:
         """Apply reports of other boxes that targets are leaving."""
         commands: list[DispatchCommand] = []
         for report in reports:
--- a/trackwheel/dispatch/service.py
+++ b/trackwheel/dispatch/service.py
@@ -45,7 +45,7 @@
 )
 from trackwheel.dispatch.owner import Owner, TargetState
 from trackwheel.files.models import InForce
-from trackwheel.fleet.models import TargetNote
+from trackwheel.fleet.models import LeavingTarget
 from trackwheel.inbox import Inbox
 from trackwheel.peers.hub import Hub
 from trackwheel.peers.models import PeerIdentity
@@ -64,7 +64,7 @@
         self,
         hub: Hub,
         client: TargetClient,
-        report_leaving: Callable[[TargetNote], None],
+        report_leaving: Callable[[LeavingTarget], None],
         guard: SendGuard,
         log: EventLog,
     ) -> None:
@@ -99,7 +99,7 @@
         """Apply the active configuration."""
         self._inbox.put(InForceChanged(in_force))
 
-    def apply_leaving_report(self, reports: tuple[TargetNote, ...]) -> None:
+    def apply_leaving_report(self, reports: tuple[LeavingTarget, ...]) -> None:
         """Apply reports of other boxes that targets are leaving."""
         self._inbox.put(LeavingReported(reports))
 
@@ -216,7 +216,7 @@
                         tasks.start_soon(self._exchanges.open_connection, target)
                 case ReportLeaving(target, boot):
                     LOG.info(f"Target {target} is leaving; no new work is sent to it")
-                    self._report_leaving(TargetNote(target, boot))
+                    self._report_leaving(LeavingTarget(target, boot))
 
     def _ask_permit(self, work: Work) -> None:
         key = work.key
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -7,11 +7,11 @@
 from typing import Final
 
 from trackwheel.clock import steady_now
-from trackwheel.directory.const import STORE_SLACK_S
+from trackwheel.directory.const import STORE_TIMEOUT_S
 from trackwheel.directory.models import DIRECTORY_MESSAGES
 from trackwheel.directory.service import DirectoryService
 from trackwheel.directory.targets import TargetDirectory
-from trackwheel.directory.watching import Watching
+from trackwheel.directory.watcher_election import WatcherElection
 from trackwheel.entry.const import (
     FIRST_LIMITS,
     PATH_METRICS,
@@ -93,12 +93,12 @@
             seed=os.getpid(),
             watchers_per_domain=WATCHERS_PER_DOMAIN,
         )
-        self.store = StoreClient(settings.store, STORE_SLACK_S, self.log)
+        self.store = StoreClient(settings.store, STORE_TIMEOUT_S, self.log)
         self.directory = DirectoryService(
             self.hub,
             self.store,
             TargetDirectory(settings.region_by_failure_domain),
-            Watching(now, settings.peers, first=settings.peers in settings.seeds),
+            WatcherElection(now, settings.peers, first=settings.peers in settings.seeds),
             self.log,
             settings.drain_s,
         )
@@ -182,10 +182,10 @@
 
     def _take_members(self, members: tuple[Member, ...]) -> None:
         own = self.fleet.own
-        near, far_watchers = self.fleet.near(), self.fleet.far_watchers()
-        before = self.fleet.watchers_before(own)
-        self.directory.set_peers(before, near, far_watchers)
-        self.quarantine.set_boxes(near, far_watchers, tells_again=not before)
+        domain_peers, remote_watchers = self.fleet.domain_peers(), self.fleet.remote_watchers()
+        before = self.fleet.watcher_predecessors(own)
+        self.directory.set_peers(before, domain_peers, remote_watchers)
+        self.quarantine.set_boxes(domain_peers, remote_watchers, tells_again=not before)
         boxes = [
             PeerBox(m.address, Place(m.region, m.failure_domain), m.speed)
             for m in members
--- a/trackwheel/platform/store.py
+++ b/trackwheel/platform/store.py
@@ -11,14 +11,14 @@
 
 from trackwheel.clock import steady_now
 from trackwheel.directory.models import (
-    EntryGone,
+    EntryRemoved,
     Evacuation,
     HistoryGoneError,
-    OrdersRead,
+    OperatorStateRead,
     TargetEntry,
     TargetsRead,
 )
-from trackwheel.directory.revisions import era_of, own_of
+from trackwheel.directory.revisions import era_of, store_revision_of
 from trackwheel.errors import Problem, TrackwheelError
 from trackwheel.http1.call import call_once
 from trackwheel.http1.models import Request, header
@@ -89,12 +89,16 @@
         """Return the configuration that some bytes hold."""
         return decode_routes(content)
 
-    async def read_orders(self, copy: bool = False) -> Result[OrdersRead, TrackwheelError]:
+    async def read_operator_state(
+        self, copy: bool = False
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         """Return the configuration and the evacuations as they stand."""
         reading = await self._read_all(PREFIX_ORDERS, copy)
         return reading.map(lambda found: self._orders(found.items, found.as_of, whole=True))
 
-    async def watch_orders(self, after: int, wait_s: float) -> Result[OrdersRead, TrackwheelError]:
+    async def watch_operator_state(
+        self, after: int, wait_s: float
+    ) -> Result[OperatorStateRead, TrackwheelError]:
         """Return what changes of them after a revision, or nothing after a while."""
         changes = await self._watch(PREFIX_ORDERS, after, wait_s)
         return changes.map(lambda found: self._orders(found.events, max(after, found.as_of), False))
@@ -116,7 +120,7 @@
     def _target_changes(self, after: int, found: Events) -> TargetsRead:
         entries, unusable = self._entries([item for item in found.events if not item.deleted])
         gone = [
-            EntryGone(item.tls_key.removeprefix(PREFIX_TARGETS), item.revision)
+            EntryRemoved(item.tls_key.removeprefix(PREFIX_TARGETS), item.revision)
             for item in found.events
             if item.deleted
         ]
@@ -188,7 +192,7 @@
     ) -> Result[Events, TrackwheelError]:
         parameters = {
             "path_prefix": prefix,
-            "after": str(own_of(after)),
+            "after": str(store_revision_of(after)),
             "wait_ms": str(round(wait_s * MILLISECONDS)),
         }
         answer = await self._get(PATH_WATCH, parameters, wait_s)
@@ -245,7 +249,7 @@
             return Failure(store_error(UNAVAILABLE, step, self._address, f"status {status}"))
         return Success(StoreAnswer(era, end.answer.body))
 
-    def _orders(self, items: list[Item], as_of: int, whole: bool) -> OrdersRead:
+    def _orders(self, items: list[Item], as_of: int, whole: bool) -> OperatorStateRead:
         """Return the newest configuration among some items, and the evacuations."""
         evacuations = tuple(
             Evacuation(
@@ -254,7 +258,7 @@
             for item in items
             if item.tls_key.startswith(PREFIX_EVACUATIONS)
         )
-        read = OrdersRead(None, b"", as_of, evacuations=evacuations, whole=whole)
+        read = OperatorStateRead(None, b"", as_of, evacuations=evacuations, complete=whole)
         written = [item for item in items if item.tls_key == KEY_CONFIG and not item.deleted]
         if not written:
             return read
@@ -269,14 +273,14 @@
     def _with_table(self, content: bytes) -> Result[tuple[RouteTable, bytes], TrackwheelError]:
         return decode_routes(content).map(lambda table: (table, content))
 
-    def _entries(self, items: list[Item]) -> tuple[list[TargetEntry], list[EntryGone]]:
+    def _entries(self, items: list[Item]) -> tuple[list[TargetEntry], list[EntryRemoved]]:
         """Return the entries that can be used, and the keys that name no target to use.
 
         Those were written by somebody else than a target: what was known of the key before does
         not hold either. Each is logged once, until its target writes it again.
         """
         entries: list[TargetEntry] = []
-        unusable: list[EntryGone] = []
+        unusable: list[EntryRemoved] = []
         for item in items:
             key, revision = item.tls_key, item.revision
             match item.content().bind(partial(decode_target, key, revision=revision)):
@@ -284,7 +288,7 @@
                     entries.append(entry)
                     self._unusable_keys.discard(key)
                 case Failure(error):
-                    unusable.append(EntryGone(key.removeprefix(PREFIX_TARGETS), revision))
+                    unusable.append(EntryRemoved(key.removeprefix(PREFIX_TARGETS), revision))
                     self._note_unusable(key, error)
         return entries, unusable
 
