--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -703,7 +703,11 @@
         BUDGET,
         "a box asks targets in the place of another one that used its part",
         REPEATS + "test_box_that_takes_the_place_of_another_waits_for_a_window",
-        Mutant("trackwheel/relay/askers.py", " or self._is_new(self._gathers_since, now)", ""),
+        Mutant(
+            "trackwheel/relay/allowance_sharers.py",
+            " or self._is_new(self._gathers_since, now)",
+            "",
+        ),
     ),
     Row(
         PLATFORM,
@@ -835,7 +839,7 @@
         "boxes are killed and come back, each thinking that it is alone",
         REPEATS + "test_members_that_come_anew_fit_under_the_rule",
         Mutant(
-            "trackwheel/relay/askers.py",
+            "trackwheel/relay/allowance_sharers.py",
             "0 if self._is_new(self._born, now) else ",
             "",
         ),
@@ -1223,7 +1227,7 @@
         "boxes restart or take over four times in a row",
         COLD + "test_boxes_that_begin_have_no_part_while_those_before_may_have_used_it",
         Mutant(
-            "trackwheel/relay/askers.py",
+            "trackwheel/relay/allowance_sharers.py",
             "return now - since < self._window_s",
             "return False",
         ),
--- a/tests/relay/test_cold.py
+++ b/tests/relay/test_cold.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.relay.conftest import HERE, OLD, ROUTE, THERE, target
-from trackwheel.relay.askers import Askers
+from trackwheel.relay.allowance_sharers import AllowanceSharers
 from trackwheel.relay.board import Board, Lack
 from trackwheel.relay.budget import BudgetRule, RepeatBudget
 from trackwheel.relay.cold import VIEWS, ColdAllowance, ColdRule, ColdService
@@ -32,7 +32,7 @@
 def make_allowance(
     per_s: float, askers: int = 1, shard: bool = True, born: float = OLD, gathers: bool = True
 ) -> ColdAllowance:
-    counts = Askers(born, 10.0)
+    counts = AllowanceSharers(born, 10.0)
     counts.set_members(askers, OLD)
     counts.set_gatherers({"here-a": askers}, "here-a", gathers, OLD)
     allowance = ColdAllowance(RULE, counts)
@@ -86,7 +86,7 @@
 
 def make_holder(since: float, change: str) -> ColdAllowance:
     """Return the allowance of a box that has restarted, or begun to ask for others, at a time."""
-    counts = Askers(since if change == "restarts" else OLD, 10.0)
+    counts = AllowanceSharers(since if change == "restarts" else OLD, 10.0)
     counts.set_members(1, since)
     counts.set_gatherers({"here-a": 1}, "here-a", True, since)
     allowance = ColdAllowance(RULE, counts)
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -105,7 +105,7 @@
         self.loads = LoadReader(self.log)
         wire = PlatformWire(self.loads)
         self.budget = RepeatBudget(settings.budget, now)
-        self.cold = ColdAllowance(settings.cold, self.budget.askers)
+        self.cold = ColdAllowance(settings.cold, self.budget.sharers)
         self.board = Board(place, os.getpid(), self.cold)
         self.transport = TargetTransport(wire, self.board, steady_now, self.log)
         self.telling = TargetTelling(self.hub, TargetNews(self.board), self.transport, self.log)
--- a/trackwheel/relay/askers.py
+++ b/trackwheel/relay/allowance_sharers.py
@@ -6,28 +6,28 @@
 from trackwheel.relay.const import MEMBERS_MEMORY_S
 
 
-class RecentMost:
-    """Keep the largest number of a span (seconds)."""
+class SlidingMaximum:
+    """Keep the largest value of a span (seconds)."""
 
-    def __init__(self, span_s: float) -> None:
-        self._span_s = span_s
-        self._falling: deque[tuple[float, int]] = deque()
+    def __init__(self, window_s: float) -> None:
+        self._window_s = window_s
+        self._candidates: deque[tuple[float, int]] = deque()
 
-    def add(self, number: int, now: float) -> None:
-        """Take the number as it is from now on."""
-        while self._falling and self._falling[-1][1] <= number:
-            self._falling.pop()
-        self._falling.append((now, number))
-        while self._falling[0][0] < now - self._span_s:
-            self._falling.popleft()
+    def add(self, value: int, now: float) -> None:
+        """Take the value as it is from now on."""
+        while self._candidates and self._candidates[-1][1] <= value:
+            self._candidates.pop()
+        self._candidates.append((now, value))
+        while self._candidates[0][0] < now - self._window_s:
+            self._candidates.popleft()
 
     @property
-    def most(self) -> int:
-        """Return the largest number of the span before the last one was taken; 0 for none."""
-        return self._falling[0][1] if self._falling else 0
+    def maximum(self) -> int:
+        """Return the largest value of the span before the last one was taken; 0 for none."""
+        return self._candidates[0][1] if self._candidates else 0
 
 
-class Askers:
+class AllowanceSharers:
     """Count the boxes among which an allowance for the targets of a service is divided.
 
     The most boxes of the last minute count: one that is cut off thinks that it is alone. For one
@@ -40,8 +40,8 @@
         self._born = born
         self._window_s = window_s
         self._gathers_since: float | None = None
-        self._members = RecentMost(MEMBERS_MEMORY_S)
-        self._gatherers_by_domain: dict[str, RecentMost] = {}
+        self._members = SlidingMaximum(MEMBERS_MEMORY_S)
+        self._gatherers_by_domain: dict[str, SlidingMaximum] = {}
         self._own_domain = ""
 
     def set_members(self, members: int, now: float) -> None:
@@ -53,7 +53,7 @@
     ) -> None:
         """Take how many boxes of each failure domain ask targets for others, and if this does."""
         for domain, gatherers in gatherers_by_domain.items():
-            self._gatherers_by_domain.setdefault(domain, RecentMost(MEMBERS_MEMORY_S)).add(
+            self._gatherers_by_domain.setdefault(domain, SlidingMaximum(MEMBERS_MEMORY_S)).add(
                 gatherers, now
             )
         self._own_domain = own_domain
@@ -62,11 +62,11 @@
         elif self._gathers_since is None:
             self._gathers_since = now
 
-    def of_all(self, now: float) -> int:
+    def in_fleet(self, now: float) -> int:
         """Return how many boxes divide what is for all of them; 0 when this one has no part."""
-        return 0 if self._is_new(self._born, now) else self._members.most
+        return 0 if self._is_new(self._born, now) else self._members.maximum
 
-    def beside(self, domains: frozenset[str], now: float) -> int:
+    def in_domains(self, domains: frozenset[str], now: float) -> int:
         """Return how many divide what is for those that ask the targets of some domains.
 
         0 when this box has no part: it asks none for others, or only since a moment, or stands in
@@ -76,7 +76,7 @@
         if waits or self._is_new(self._born, now) or self._own_domain not in domains:
             return 0
         known = domains & self._gatherers_by_domain.keys()
-        return max(1, sum(self._gatherers_by_domain[domain].most for domain in known))
+        return max(1, sum(self._gatherers_by_domain[domain].maximum for domain in known))
 
     def _is_new(self, since: float, now: float) -> bool:
         return now - since < self._window_s
--- a/trackwheel/relay/budget.py
+++ b/trackwheel/relay/budget.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from trackwheel.relay.askers import Askers
+from trackwheel.relay.allowance_sharers import AllowanceSharers
 from trackwheel.relay.const import (
     BUDGET_BUCKETS,
     BUDGET_SAFETY,
@@ -56,7 +56,7 @@
 
     def __init__(self, rule: BudgetRule, born: float) -> None:
         self._rule = rule
-        self.askers = Askers(born, rule.window_s)
+        self.sharers = AllowanceSharers(born, rule.window_s)
         """The boxes that divide the fixed allowance."""
         self._domains_by_shard: dict[str, frozenset[str]] = {}
         self._firsts_by_service: dict[str, SlidingCount] = {}
@@ -65,13 +65,13 @@
 
     def set_members(self, members: int, now: float) -> None:
         """Take how many boxes are known."""
-        self.askers.set_members(members, now)
+        self.sharers.set_members(members, now)
 
     def set_gatherers(
         self, gatherers_by_domain: Mapping[str, int], own_domain: str, gathers: bool, now: float
     ) -> None:
         """Take how many boxes of each failure domain ask targets for others, and if this does."""
-        self.askers.set_gatherers(gatherers_by_domain, own_domain, gathers, now)
+        self.sharers.set_gatherers(gatherers_by_domain, own_domain, gathers, now)
 
     def set_shards(self, domains_by_shard: dict[str, frozenset[str]]) -> None:
         """Take in which failure domains the targets of each shard are."""
@@ -106,7 +106,7 @@
 
     def _extra(self, service: str, now: float) -> float:
         """Return this box's part of the fixed allowance for a service."""
-        members = self.askers.of_all(now)
+        members = self.sharers.in_fleet(now)
         if not members:
             return 0.0
         allowance = self._rule.extra * BUDGET_SHARE_OF_EXTRA
@@ -114,7 +114,7 @@
         if domains is None:
             return allowance / members
         extra = allowance * BUDGET_SHARE_OF_ALL / members
-        gatherers = self.askers.beside(domains, now)
+        gatherers = self.sharers.in_domains(domains, now)
         if gatherers:
             extra += allowance * (1.0 - BUDGET_SHARE_OF_ALL) / gatherers
         return extra
--- a/trackwheel/relay/cold.py
+++ b/trackwheel/relay/cold.py
@@ -11,7 +11,7 @@
 from math import floor
 from typing import Final, NamedTuple
 
-from trackwheel.relay.askers import Askers
+from trackwheel.relay.allowance_sharers import AllowanceSharers
 from trackwheel.relay.models import Life, Target
 
 COLD_WINDOW_S: Final = 1.0
@@ -45,9 +45,9 @@
 class ColdAllowance:
     """Count what this box sends to each cold target, and hold it within its part of the bound."""
 
-    def __init__(self, rule: ColdRule, askers: Askers) -> None:
+    def __init__(self, rule: ColdRule, sharers: AllowanceSharers) -> None:
         self._rule = rule
-        self._askers = askers
+        self._sharers = sharers
         self._service_by_name: Mapping[str, ColdService] = {}
         self._shards: frozenset[str] = frozenset()
         self._sent_at_by_life: dict[Life, deque[float]] = {}
@@ -71,9 +71,9 @@
         """
         service = self.service(target.service)
         if target.service in self._shards:
-            sharers = self._askers.beside(frozenset({target.place.failure_domain}), now)
+            sharers = self._sharers.in_domains(frozenset({target.place.failure_domain}), now)
         else:
-            sharers = self._askers.of_all(now)
+            sharers = self._sharers.in_fleet(now)
         if not sharers:
             return 0
         bound = service.per_s * self._rule.overshoot + self._rule.slack
