--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -12,7 +12,7 @@
 from bench.agenda import Action, Agenda, Processor
 from bench.policy_targets import QUIET, Habits, ModelTarget
 from trackwheel.relay.board import Board
-from trackwheel.relay.budget import BudgetRule, RepeatBudget
+from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import (
     CancelGroup,
@@ -94,7 +94,7 @@
         self.place = peer.place
         self.processor = Processor(fleet.agenda, peer.speed)
         self.board = Board(peer.place, seed)
-        self.budget = RepeatBudget(BudgetRule(0.2, 10.0, fleet.extra), -100.0)
+        self.budget = RetryBudget(RetryBudgetLimits(0.2, 10.0, fleet.extra), -100.0)
         self.links: set[str] = set()
         self.peer_board = PeerBoard(self.links.__contains__)
         self.planner = GroupPlanner(peer.place, peer.address, self.board, self.peer_board)
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -6,7 +6,7 @@
 
 from trackwheel.http1.models import Response
 from trackwheel.relay.board import Board
-from trackwheel.relay.budget import BudgetRule, RepeatBudget
+from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 from trackwheel.relay.models import Load, Outcome, Place, RouteKey, Target, TargetEnd
 
 HERE = Place("here", "here-a")
@@ -50,14 +50,14 @@
 
 
 @pytest.fixture
-def budget() -> RepeatBudget:
+def budget() -> RetryBudget:
     """Return a budget that is large enough not to matter."""
-    budget = RepeatBudget(BudgetRule(10.0, 10.0, 1000.0), OLD)
+    budget = RetryBudget(RetryBudgetLimits(10.0, 10.0, 1000.0), OLD)
     budget.set_members(1, 0.0)
     return budget
 
 
 @pytest.fixture
-def no_budget() -> RepeatBudget:
+def no_budget() -> RetryBudget:
     """Return a budget that allows no repeat."""
-    return RepeatBudget(BudgetRule(0.0, 10.0, 0.0), OLD)
+    return RetryBudget(RetryBudgetLimits(0.0, 10.0, 0.0), OLD)
--- a/tests/relay/test_budget.py
+++ b/tests/relay/test_budget.py
@@ -5,14 +5,14 @@
 import pytest
 
 from tests.relay.conftest import OLD
-from trackwheel.relay.budget import BudgetRule, RepeatBudget
+from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 
-RULE = BudgetRule(0.2, 10.0, 54.0)
-LARGE_RULE = BudgetRule(0.2, 10.0, 160.0)
+RULE = RetryBudgetLimits(0.2, 10.0, 54.0)
+LARGE_RULE = RetryBudgetLimits(0.2, 10.0, 160.0)
 """The rule of a fleet of 60."""
 
 
-def worst_excess(rule: BudgetRule, firsts: list[float], repeats: list[float]) -> float:
+def worst_excess(rule: RetryBudgetLimits, firsts: list[float], repeats: list[float]) -> float:
     """Return the largest excess of repeats over the rule in windows that begin at a repeat."""
     worst = float("-inf")
     for start in repeats:
@@ -28,7 +28,7 @@
 def test_all_boxes_together_stay_within_the_rule(boxes: int, rate: float) -> None:
     random = Random(boxes)
     rule = LARGE_RULE if boxes == 60 else RULE
-    budgets = [RepeatBudget(rule, OLD) for _ in range(boxes)]
+    budgets = [RetryBudget(rule, OLD) for _ in range(boxes)]
     for budget in budgets:
         budget.set_members(boxes, 0.0)
     firsts: list[float] = []
@@ -37,9 +37,9 @@
         now = step * 0.05
         for budget in budgets:
             if random.random() < rate * 0.05:
-                budget.first("s", now)
+                budget.count_first("s", now)
                 firsts.append(now)
-            if budget.take("s", now):
+            if budget.try_spend("s", now):
                 repeats.append(now)
     assert repeats
     assert worst_excess(rule, firsts, repeats) <= 0
@@ -50,40 +50,40 @@
     """Some boxes are killed and come back with empty books, each thinking that it is alone."""
     repeats = 0
     for _ in range(7):
-        budget = RepeatBudget(RULE, OLD)
+        budget = RetryBudget(RULE, OLD)
         budget.set_members(7, 0.0)
-        repeats += sum(budget.take("s", 1.0) for _ in range(100))
+        repeats += sum(budget.try_spend("s", 1.0) for _ in range(100))
     for _ in range(killed):
-        budget = RepeatBudget(RULE, 2.0)
+        budget = RetryBudget(RULE, 2.0)
         budget.set_members(1, 2.0)
-        repeats += sum(budget.take("s", 3.0) for _ in range(100))
+        repeats += sum(budget.try_spend("s", 3.0) for _ in range(100))
     assert 0 < repeats <= RULE.extra
 
 
 def test_box_that_is_cut_off_remembers_how_many_there_were() -> None:
-    budget = RepeatBudget(RULE, OLD)
+    budget = RetryBudget(RULE, OLD)
     budget.set_members(7, 0.0)
     budget.set_members(1, 5.0)
-    assert sum(budget.take("s", 6.0) for _ in range(100)) <= RULE.extra / 7
+    assert sum(budget.try_spend("s", 6.0) for _ in range(100)) <= RULE.extra / 7
     budget.set_members(1, 100.0)
-    assert sum(budget.take("s", 101.0) for _ in range(100)) > RULE.extra / 7
+    assert sum(budget.try_spend("s", 101.0) for _ in range(100)) > RULE.extra / 7
 
 
 def test_services_have_books_of_their_own() -> None:
-    budget = RepeatBudget(RULE, OLD)
+    budget = RetryBudget(RULE, OLD)
     budget.set_members(1, 0.0)
-    while budget.take("a", 0.0):
+    while budget.try_spend("a", 0.0):
         pass
-    assert budget.take("b", 0.0)
+    assert budget.try_spend("b", 0.0)
 
 
 def test_window_slides() -> None:
-    budget = RepeatBudget(RULE, OLD)
+    budget = RetryBudget(RULE, OLD)
     budget.set_members(1, 0.0)
-    while budget.take("a", 0.0):
+    while budget.try_spend("a", 0.0):
         pass
-    assert not budget.take("a", RULE.window_s - 0.1)
-    assert budget.take("a", RULE.window_s + 1.1)
+    assert not budget.try_spend("a", RULE.window_s - 0.1)
+    assert budget.try_spend("a", RULE.window_s + 1.1)
 
 
 SHARD = {"s": frozenset(("a", "b"))}
@@ -96,46 +96,46 @@
     taken_by_domain = dict.fromkeys("abcdef", 0)
     for domain in taken_by_domain:
         for box in range(14):
-            budget = RepeatBudget(LARGE_RULE, OLD)
+            budget = RetryBudget(LARGE_RULE, OLD)
             budget.set_members(84, OLD)
             budget.set_gatherers(dict.fromkeys("abcdef", gatherers), domain, box < gatherers, OLD)
             budget.set_shards(SHARD)
-            taken_by_domain[domain] += sum(budget.take("s", 0.0) for _ in range(200))
+            taken_by_domain[domain] += sum(budget.try_spend("s", 0.0) for _ in range(200))
     assert LARGE_RULE.extra * 0.5 < sum(taken_by_domain.values()) <= LARGE_RULE.extra
     assert taken_by_domain["a"] > 5 * taken_by_domain["c"]
 
 
 def test_service_that_every_box_asks_is_shared_evenly() -> None:
-    budget = RepeatBudget(LARGE_RULE, OLD)
+    budget = RetryBudget(LARGE_RULE, OLD)
     budget.set_members(10, OLD)
     budget.set_gatherers({"a": 1}, "a", False, OLD)
     budget.set_shards(SHARD)
-    assert sum(budget.take("single", 0.0) for _ in range(100)) >= LARGE_RULE.extra * 0.7 // 10
+    assert sum(budget.try_spend("single", 0.0) for _ in range(100)) >= LARGE_RULE.extra * 0.7 // 10
 
 
 def test_box_that_takes_the_place_of_another_waits_for_a_window() -> None:
     """The box that asked before it may have used its part up."""
-    budget = RepeatBudget(RULE, OLD)
+    budget = RetryBudget(RULE, OLD)
     budget.set_members(20, OLD)
     budget.set_shards({"s": frozenset("a"), "t": frozenset("a")})
     budget.set_gatherers({"a": 2}, "a", False, OLD)
-    before = sum(budget.take("s", 0.0) for _ in range(100))
+    before = sum(budget.try_spend("s", 0.0) for _ in range(100))
     budget.set_gatherers({"a": 2}, "a", True, 0.1)
-    assert sum(budget.take("s", 9.9) for _ in range(100)) == 0
-    assert sum(budget.take("s", 11.2) for _ in range(100)) > before
+    assert sum(budget.try_spend("s", 9.9) for _ in range(100)) == 0
+    assert sum(budget.try_spend("s", 11.2) for _ in range(100)) > before
     budget.set_gatherers({"a": 2}, "a", False, 12.0)
-    assert not budget.take("t", 12.0)
+    assert not budget.try_spend("t", 12.0)
 
 
 @pytest.mark.parametrize("needed", [True, False])
 def test_part_of_the_allowance_is_kept_for_what_is_needed(needed: bool) -> None:
-    budget = RepeatBudget(RULE, OLD)
+    budget = RetryBudget(RULE, OLD)
     budget.set_members(1, 0.0)
     taken = 0
-    while budget.take("s", 1.0, needed):
+    while budget.try_spend("s", 1.0, needed):
         taken += 1
     rest = 0
-    while budget.take("s", 1.0):
+    while budget.try_spend("s", 1.0):
         rest += 1
     assert (rest == 0) is needed
     assert needed or taken == pytest.approx(3 * rest, abs=2)
@@ -143,7 +143,11 @@
 
 @pytest.mark.parametrize(
     ("rule", "ever"),
-    [(BudgetRule(0.0, 10.0, 0.0), False), (BudgetRule(0.2, 10.0, 0.0), True), (RULE, True)],
+    [
+        (RetryBudgetLimits(0.0, 10.0, 0.0), False),
+        (RetryBudgetLimits(0.2, 10.0, 0.0), True),
+        (RULE, True),
+    ],
 )
-def test_budget_says_whether_waiting_can_help(rule: BudgetRule, ever: bool) -> None:
-    assert RepeatBudget(rule, OLD).allows_any is ever
+def test_budget_says_whether_waiting_can_help(rule: RetryBudgetLimits, ever: bool) -> None:
+    assert RetryBudget(rule, OLD).allows_any is ever
--- a/tests/relay/test_cold.py
+++ b/tests/relay/test_cold.py
@@ -12,7 +12,7 @@
 from tests.relay.conftest import HERE, OLD, ROUTE, THERE, target
 from trackwheel.relay.allowance_sharers import AllowanceSharers
 from trackwheel.relay.board import Board, Lack
-from trackwheel.relay.budget import BudgetRule, RepeatBudget
+from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 from trackwheel.relay.cold import VIEWS, ColdAllowance, ColdRule, ColdService
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import GatherPlan, SendPart
@@ -136,8 +136,8 @@
     return board
 
 
-def budget() -> RepeatBudget:
-    found = RepeatBudget(BudgetRule(10.0, 10.0, 1000.0), OLD)
+def budget() -> RetryBudget:
+    found = RetryBudget(RetryBudgetLimits(10.0, 10.0, 1000.0), OLD)
     found.set_members(1, 0.0)
     return found
 
--- a/tests/relay/test_groups.py
+++ b/tests/relay/test_groups.py
@@ -9,7 +9,7 @@
 from tests.relay.conftest import HERE, ROUTE
 from trackwheel.peers.models import PeerIdentity
 from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan, SendGroup
 from trackwheel.relay.groups import PeerGroups
@@ -48,7 +48,7 @@
     ],
 )
 def test_message_about_other_shards_is_passed_over(
-    board: Board, budget: RepeatBudget, message: GroupParts | GroupDeclined
+    board: Board, budget: RetryBudget, message: GroupParts | GroupDeclined
 ) -> None:
     """It once ended the task of the link, and with it everything between the two boxes."""
     events: list[str] = []
--- a/tests/relay/test_homes.py
+++ b/tests/relay/test_homes.py
@@ -10,7 +10,7 @@
 from tests.relay.conftest import HERE, OLD, ROUTE, THERE, target
 from trackwheel.peers.codec import Codec
 from trackwheel.relay.board import Board, Lack
-from trackwheel.relay.budget import BudgetRule, RepeatBudget
+from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import GatherFailed, GatherPlan, SendGroup, SendPart
 from trackwheel.relay.grouping import GroupPlanner
@@ -50,8 +50,8 @@
     return planner
 
 
-def make_budget() -> RepeatBudget:
-    budget = RepeatBudget(BudgetRule(10.0, 10.0, 1000.0), OLD)
+def make_budget() -> RetryBudget:
+    budget = RetryBudget(RetryBudgetLimits(10.0, 10.0, 1000.0), OLD)
     budget.set_members(1, 0.0)
     return budget
 
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -36,7 +36,7 @@
 from trackwheel.quarantine.models import QUARANTINE_MESSAGES
 from trackwheel.quarantine.service import Quarantine
 from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.cold import ColdAllowance, ColdService
 from trackwheel.relay.ends import tell_ends
 from trackwheel.relay.gatherers import choose_gatherers
@@ -104,7 +104,7 @@
         )
         self.loads = LoadReader(self.log)
         wire = PlatformWire(self.loads)
-        self.budget = RepeatBudget(settings.budget, now)
+        self.budget = RetryBudget(settings.budget, now)
         self.cold = ColdAllowance(settings.cold, self.budget.sharers)
         self.board = Board(place, os.getpid(), self.cold)
         self.transport = TargetTransport(wire, self.board, steady_now, self.log)
--- a/trackwheel/entry/figures.py
+++ b/trackwheel/entry/figures.py
@@ -8,7 +8,7 @@
 from trackwheel.peers.hub import Hub
 from trackwheel.platform.load import LoadReader
 from trackwheel.quarantine.service import Quarantine
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.service import RelayService
 from trackwheel.relay.transport import TargetTransport
 from trackwheel.telemetry.events import EventLog
@@ -22,7 +22,7 @@
     transport: TargetTransport
     directory: DirectoryService
     fleet: FleetService
-    budget: RepeatBudget
+    budget: RetryBudget
     loads: LoadReader
     hub: Hub
     quarantine: Quarantine
--- a/trackwheel/platform/settings.py
+++ b/trackwheel/platform/settings.py
@@ -4,7 +4,7 @@
 from typing import Final, NamedTuple
 
 from trackwheel.errors import Problem, TrackwheelError
-from trackwheel.relay.budget import BudgetRule
+from trackwheel.relay.budget import RetryBudgetLimits
 from trackwheel.relay.cold import ColdRule
 from trackwheel.relay.models import Place
 from trackwheel.settings import split_address
@@ -34,7 +34,7 @@
     """How fast its processor is, in cores of which one is all that a process may use."""
     grace_s: float
     drain_s: float
-    budget: BudgetRule
+    budget: RetryBudgetLimits
     cold: ColdRule
 
 
@@ -117,7 +117,7 @@
         speed=lines.positive("limits.cpu_share", 1.0) * lines.positive("limits.cores", 1.0),
         grace_s=lines.number("bounds.grace_s"),
         drain_s=lines.number("bounds.drain_ms") / MILLISECONDS,
-        budget=BudgetRule(
+        budget=RetryBudgetLimits(
             lines.number("bounds.retry_budget_ratio"),
             lines.number("bounds.retry_window_s"),
             lines.number("bounds.retry_extra"),
--- a/trackwheel/relay/asking.py
+++ b/trackwheel/relay/asking.py
@@ -4,7 +4,7 @@
 
 from trackwheel.relay.attempts import Refusal, hedge_time
 from trackwheel.relay.board import Board, Lack
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.const import LATE_RETRY_PACES, RETRY_PACES
 from trackwheel.relay.gather_models import CancelPart, GatherPlan, SendPart
 from trackwheel.relay.handed import HandedGroups
@@ -21,7 +21,7 @@
         self,
         plan: GatherPlan,
         board: Board,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         shards: ShardBook,
         groups: HandedGroups,
     ) -> None:
--- a/trackwheel/relay/attempts.py
+++ b/trackwheel/relay/attempts.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from trackwheel.relay.board import Board, Choice
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.const import (
     HEDGE_EARLIEST_PACES,
     HEDGE_RESERVE_PACES,
@@ -122,7 +122,7 @@
     def choose(
         self,
         board: Board,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         route: RouteKey,
         now: float,
         needed: bool = True,
@@ -197,13 +197,13 @@
         ran = frozenset(self._tried - self._not_run_at)
         return board.rank(self._service, route, now, ran, self._only_beside)
 
-    def _pay(self, budget: RepeatBudget, now: float, needed: bool) -> bool:
+    def _pay(self, budget: RetryBudget, now: float, needed: bool) -> bool:
         if not self._counted:
             self._counted = True
-            budget.first(self._service, now)
+            budget.count_first(self._service, now)
             return True
         # What could not be sent did not arrive, so that another target is not a repeat yet.
-        return self._arrivals == 0 or budget.take(self._service, now, needed)
+        return self._arrivals == 0 or budget.try_spend(self._service, now, needed)
 
 
 def hedge_time(choices: list[Choice], answer_at: float, now: float) -> float:
--- a/trackwheel/relay/budget.py
+++ b/trackwheel/relay/budget.py
@@ -18,7 +18,7 @@
 )
 
 
-class BudgetRule(NamedTuple):
+class RetryBudgetLimits(NamedTuple):
     """The bound for the whole fleet: repeats within a window (seconds)."""
 
     ratio: float
@@ -26,7 +26,7 @@
     extra: float
 
 
-class SlidingCount:
+class SlidingWindowCounter:
     """Count events of the last window, in buckets."""
 
     def __init__(self, window_s: float) -> None:
@@ -51,16 +51,16 @@
         return self._total
 
 
-class RepeatBudget:
+class RetryBudget:
     """Decide whether one more request for a service may be sent than clients asked for."""
 
-    def __init__(self, rule: BudgetRule, born: float) -> None:
-        self._rule = rule
-        self.sharers = AllowanceSharers(born, rule.window_s)
+    def __init__(self, limits: RetryBudgetLimits, born: float) -> None:
+        self._limits = limits
+        self.sharers = AllowanceSharers(born, limits.window_s)
         """The boxes that divide the fixed allowance."""
         self._domains_by_shard: dict[str, frozenset[str]] = {}
-        self._firsts_by_service: dict[str, SlidingCount] = {}
-        self._repeats_by_service: dict[str, SlidingCount] = {}
+        self._firsts_by_service: dict[str, SlidingWindowCounter] = {}
+        self._repeats_by_service: dict[str, SlidingWindowCounter] = {}
         self.denied = 0
 
     def set_members(self, members: int, now: float) -> None:
@@ -80,13 +80,13 @@
     @property
     def allows_any(self) -> bool:
         """Return whether a repeat may ever be paid for, so that it can be worth waiting."""
-        return self._rule.ratio > 0.0 or self._rule.extra > 0.0
+        return self._limits.ratio > 0.0 or self._limits.extra > 0.0
 
-    def first(self, service: str, now: float) -> None:
+    def count_first(self, service: str, now: float) -> None:
         """Count a first request for a service."""
         self._count(self._firsts_by_service, service).add(now)
 
-    def take(self, service: str, now: float, needed: bool = True) -> bool:
+    def try_spend(self, service: str, now: float, needed: bool = True) -> bool:
         """Pay for one repeat; return False when the budget does not allow it.
 
         `needed` says that an answer fails without it; others leave a reserve.
@@ -95,7 +95,7 @@
         # wherever it begins, then holds more than the rule says.
         firsts = self._count(self._firsts_by_service, service).total(now, BUDGET_BUCKETS - 1)
         repeats = self._count(self._repeats_by_service, service).total(now, BUDGET_BUCKETS + 1)
-        allowed = firsts * self._rule.ratio * BUDGET_SAFETY + self._extra(service, now)
+        allowed = firsts * self._limits.ratio * BUDGET_SAFETY + self._extra(service, now)
         if not needed:
             allowed *= 1.0 - RESERVE_FOR_NEEDED
         if repeats + 1 > allowed:
@@ -109,7 +109,7 @@
         members = self.sharers.in_fleet(now)
         if not members:
             return 0.0
-        allowance = self._rule.extra * BUDGET_SHARE_OF_EXTRA
+        allowance = self._limits.extra * BUDGET_SHARE_OF_EXTRA
         domains = self._domains_by_shard.get(service)
         if domains is None:
             return allowance / members
@@ -119,8 +119,10 @@
             extra += allowance * (1.0 - BUDGET_SHARE_OF_ALL) / gatherers
         return extra
 
-    def _count(self, count_by_service: dict[str, SlidingCount], service: str) -> SlidingCount:
+    def _count(
+        self, count_by_service: dict[str, SlidingWindowCounter], service: str
+    ) -> SlidingWindowCounter:
         count = count_by_service.get(service)
         if count is None:
-            count = count_by_service[service] = SlidingCount(self._rule.window_s)
+            count = count_by_service[service] = SlidingWindowCounter(self._limits.window_s)
         return count
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -17,7 +17,7 @@
 
 from trackwheel.relay.asking import DECLINED, ShardAsking
 from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.closings import Closings
 from trackwheel.relay.const import DECLINE_PACES, LOGGED_SHARDS
 from trackwheel.relay.gather_models import (
@@ -46,7 +46,7 @@
         self,
         plan: GatherPlan,
         board: Board,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         regrouping: Regrouping | None = None,
     ) -> None:
         self.plan = plan
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -8,7 +8,7 @@
 from trackwheel.http1.server import Exchange
 from trackwheel.quarantine.service import Quarantine
 from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.const import (
     FINAL_MARGIN_S,
     LINKS_REST_S,
@@ -43,7 +43,7 @@
         self,
         wire: Wire,
         board: Board,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         transport: TargetTransport,
         groups: PeerGroups,
         quarantine: Quarantine,
--- a/trackwheel/relay/single.py
+++ b/trackwheel/relay/single.py
@@ -9,7 +9,7 @@
 from trackwheel.http1.models import Response
 from trackwheel.relay.attempts import NEVER, Attempts, Refusal, hedge_time
 from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.models import OPEN_GATE, Outcome, RouteKey, SendGate, Target, TargetEnd
 
 
@@ -63,7 +63,7 @@
 class Single:
     """Decide, from events and the time, where one request goes and how it ends."""
 
-    def __init__(self, plan: SinglePlan, board: Board, budget: RepeatBudget) -> None:
+    def __init__(self, plan: SinglePlan, board: Board, budget: RetryBudget) -> None:
         self.plan = plan
         self._board = board
         self._budget = budget
--- a/trackwheel/relay/taken.py
+++ b/trackwheel/relay/taken.py
@@ -8,7 +8,7 @@
 from trackwheel.peers.models import PeerIdentity
 from trackwheel.quarantine.service import Quarantine
 from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.fingerprint import fingerprint
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import Declined, Gathered, GatherFailed, GatherPlan
@@ -120,7 +120,7 @@
         self,
         hub: Hub,
         board: Board,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         transport: TargetTransport,
         groups: GroupSender,
         quarantine: Quarantine,
