--- a/tests/relay/test_groups.py
+++ b/tests/relay/test_outbound_groups.py
@@ -12,7 +12,7 @@
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan, SendGroup
-from trackwheel.relay.groups import PeerGroups
+from trackwheel.relay.outbound_groups import OutboundGroups
 from trackwheel.relay.peers import GroupDeclined, GroupParts
 
 PEER = PeerIdentity("box-2", "boot", "peer:1", "here", "here-a")
@@ -55,7 +55,7 @@
     log = SimpleNamespace(write=lambda kind, **fields: events.append(kind))
     hub = FakeHub()
     wire = SimpleNamespace(forwarded_headers=lambda http: ())
-    groups = PeerGroups(hub, wire, log)  # type: ignore[arg-type]
+    groups = OutboundGroups(hub, wire, log)  # type: ignore[arg-type]
     plan = GatherPlan(ROUTE, GROUP.shards, 3, (GROUP,), 1.0, 2, 0.2, 1.0, False)
     gather = Gather(plan, board, budget)
     http = SimpleNamespace(method=b"GET", target=b"/", body=b"")
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -40,12 +40,12 @@
 from trackwheel.relay.cold import ColdAllowance, ColdService
 from trackwheel.relay.ends import tell_ends
 from trackwheel.relay.gatherers import choose_gatherers
-from trackwheel.relay.groups import PeerGroups
+from trackwheel.relay.inbound_groups import InboundGroups
 from trackwheel.relay.models import Place, Target
 from trackwheel.relay.news import NEWS_MESSAGES, TargetNews
+from trackwheel.relay.outbound_groups import OutboundGroups
 from trackwheel.relay.peers import RELAY_MESSAGES, PeerBox
 from trackwheel.relay.service import RelayService
-from trackwheel.relay.taken import TakenGroups
 from trackwheel.relay.telling import TargetTelling
 from trackwheel.relay.transport import TargetTransport
 from trackwheel.routing.models import Limits, RouteTable
@@ -109,15 +109,15 @@
         self.board = Board(place, os.getpid(), self.cold)
         self.transport = TargetTransport(wire, self.board, steady_now, self.log)
         self.telling = TargetTelling(self.hub, TargetNews(self.board), self.transport, self.log)
-        self.groups = PeerGroups(self.hub, wire, self.log)
+        self.outbound_groups = OutboundGroups(self.hub, wire, self.log)
         self.quarantine = Quarantine(self.hub, PlatformHeldStore(self.store), self.log)
         tell_ends(self.transport, self.quarantine)
-        self.taken = TakenGroups(
+        self.inbound_groups = InboundGroups(
             self.hub,
             self.board,
             self.budget,
             self.transport,
-            self.groups,
+            self.outbound_groups,
             self.quarantine,
             self.log,
         )
@@ -126,7 +126,7 @@
             self.board,
             self.budget,
             self.transport,
-            self.groups,
+            self.outbound_groups,
             self.quarantine,
             self.log,
             self.figures,
@@ -166,7 +166,7 @@
     @property
     def busy(self) -> bool:
         """Return whether anything is under way here."""
-        return bool(self.clients.busy or self.taken)
+        return bool(self.clients.busy or self.inbound_groups)
 
     def stop(self) -> None:
         """Begin to stop: take no new clients, go on with those who are here."""
--- a/trackwheel/relay/taken.py
+++ b/trackwheel/relay/inbound_groups.py
@@ -28,7 +28,7 @@
 from trackwheel.units import MILLISECONDS
 
 
-class _TakenGroup:
+class _InboundGroup:
     """One group: its gather, and what its sender was told so far."""
 
     def __init__(self, sender: PeerIdentity, forward: GroupForward, hub: Hub, now: float) -> None:
@@ -38,14 +38,14 @@
         self._run: GatherRun | None = None
         times = sorted((forward.report_in_ms, forward.answer_in_ms))
         self._reports = deque(now + in_ms / MILLISECONDS for in_ms in times)
-        self._timer = Timer(self._report_in_time)
-        self._tells_at_once = forward.repeat
+        self._timer = Timer(self._send_due_report)
+        self._sends_at_once = forward.repeat
         """Whether each part is told as it comes, not with others in a report."""
 
     def start(self, run: GatherRun) -> None:
         """Begin."""
         self._run = run
-        if not self._tells_at_once:
+        if not self._sends_at_once:
             self._timer.set(self._reports[0])
         run.start()
 
@@ -55,29 +55,29 @@
         if self._run is not None:
             self._run.cancel()
 
-    def part_came(self) -> None:
+    def part_received(self) -> None:
         """Tell of a new part, unless a report is still due."""
-        if self._tells_at_once:
+        if self._sends_at_once:
             self._report(False)
 
     def decline(self, command: Declined) -> None:
         """Leave shards to others."""
         shards = self.forward.shards
-        places = [place for place, name in enumerate(shards) if name in command.shards]
-        self._hub.send(self.sender.address, GroupDeclined(self.forward.group_id, places))
+        positions = [position for position, name in enumerate(shards) if name in command.shards]
+        self._hub.send(self.sender.address, GroupDeclined(self.forward.group_id, positions))
 
     def finish(self) -> None:
         """Tell the rest, and that no more comes."""
         self._timer.stop()
         self._report(True)
 
-    def _report_in_time(self) -> None:
+    def _send_due_report(self) -> None:
         """Report what is in; after the last report, tell of each part as it comes."""
         self._reports.popleft()
         if self._reports:
             self._timer.set(self._reports[0])
         else:
-            self._tells_at_once = True
+            self._sends_at_once = True
         self._report(False)
 
     def _report(self, final: bool) -> None:
@@ -89,7 +89,7 @@
             for (name, signature), part in zip(signature_by_shard.items(), records, strict=True):
                 self._send({name: signature}, [part], False)
             signature_by_shard, records = {}, []
-        if final or signature_by_shard or not self._tells_at_once:
+        if final or signature_by_shard or not self._sends_at_once:
             self._send(signature_by_shard, records, final)
 
     def _send(
@@ -97,13 +97,15 @@
     ) -> None:
         assert self._run is not None, "only a gather that was started has parts"
         forward = self.forward
-        places = [place for place, name in enumerate(forward.shards) if name in signature_by_shard]
-        signatures = [signature_by_shard[forward.shards[place]] for place in places]
+        positions = [
+            position for position, name in enumerate(forward.shards) if name in signature_by_shard
+        ]
+        signatures = [signature_by_shard[forward.shards[position]] for position in positions]
         merged = merge_records(records, forward.top_k, forward.floor)
         gather = self._run.task.gather
         message = GroupParts(
             forward.group_id,
-            places,
+            positions,
             signatures,
             merged,
             final,
@@ -113,7 +115,7 @@
         self._hub.send(self.sender.address, message)
 
 
-class TakenGroups:
+class InboundGroups:
     """Gather groups for peers."""
 
     def __init__(
@@ -133,37 +135,37 @@
         self._transport = transport
         self._groups = groups
         self._log = log
-        self._taken_by_key: dict[tuple[str, str], _TakenGroup] = {}
-        hub.register(GroupForward, self._take)
-        hub.register(GroupCancel, self._take_cancel)
+        self._group_by_key: dict[tuple[str, str], _InboundGroup] = {}
+        hub.register(GroupForward, self._receive_forward)
+        hub.register(GroupCancel, self._receive_cancel)
         hub.on_link_lost(self._link_lost)
 
     def __len__(self) -> int:
-        return len(self._taken_by_key)
+        return len(self._group_by_key)
 
-    def _take(self, sender: PeerIdentity, message: GroupForward) -> None:
+    def _receive_forward(self, sender: PeerIdentity, message: GroupForward) -> None:
         """Gather a group for a peer."""
         now = steady_now()
         key = (sender.boot, message.group_id)
-        if key in self._taken_by_key:
+        if key in self._group_by_key:
             return
         self._hub.send(sender.address, GroupAccepted(message.group_id))
         task = self._task(message, now)
         if self._quarantine.holds(task.request.fingerprint):
-            self._refuse(sender, message)
+            self._reject_held(sender, message)
             return
-        taken = self._taken_by_key[key] = _TakenGroup(sender, message, self._hub, now)
+        group = self._group_by_key[key] = _InboundGroup(sender, message, self._hub, now)
         run = GatherRun(
             task,
             self._transport,
             self._groups,
-            lambda result: self._finished(key, result),
-            taken.part_came,
-            taken.decline,
+            lambda result: self._group_finished(key, result),
+            group.part_received,
+            group.decline,
         )
-        taken.start(run)
+        group.start(run)
 
-    def _refuse(self, sender: PeerIdentity, message: GroupForward) -> None:
+    def _reject_held(self, sender: PeerIdentity, message: GroupForward) -> None:
         """Ask nobody for a request that is held, and let its sender know."""
         self._quarantine.tell(sender.address)
         self._hub.send(sender.address, GroupParts(message.group_id, [], [], b"", True, False))
@@ -190,27 +192,27 @@
         )
         return GatherTask(request, Gather(plan, self._board, self._budget))
 
-    def _finished(self, key: tuple[str, str], result: Gathered | GatherFailed) -> None:
-        taken = self._taken_by_key.pop(key)
-        forward = taken.forward
+    def _group_finished(self, key: tuple[str, str], result: Gathered | GatherFailed) -> None:
+        group = self._group_by_key.pop(key)
+        forward = group.forward
         missing = result.missing if isinstance(result, Gathered) else len(forward.shards)
         self._log.write(
             "group_end",
             id=forward.request_id,
             route=forward.route,
-            peer=taken.sender.box_id,
+            peer=group.sender.box_id,
             shards=len(forward.shards),
             missing=missing,
         )
-        taken.finish()
+        group.finish()
 
-    def _take_cancel(self, sender: PeerIdentity, message: GroupCancel) -> None:
-        taken = self._taken_by_key.pop((sender.boot, message.group_id), None)
-        if taken is not None:
-            taken.cancel()
+    def _receive_cancel(self, sender: PeerIdentity, message: GroupCancel) -> None:
+        group = self._group_by_key.pop((sender.boot, message.group_id), None)
+        if group is not None:
+            group.cancel()
 
     def _link_lost(self, address: str) -> None:
         """Stop gathering for a peer that cannot be told any more."""
-        known = self._taken_by_key.items()
-        for key in [key for key, taken in known if taken.sender.address == address]:
-            self._taken_by_key.pop(key).cancel()
+        known = self._group_by_key.items()
+        for key in [key for key, group in known if group.sender.address == address]:
+            self._group_by_key.pop(key).cancel()
--- a/trackwheel/relay/groups.py
+++ b/trackwheel/relay/outbound_groups.py
@@ -27,7 +27,7 @@
 from trackwheel.units import MILLISECONDS
 
 
-class _Handed:
+class _OutboundGroup:
     """A group that a peer gathers for a query of this box."""
 
     def __init__(self, run: GatherRun, command: SendGroup, now: float) -> None:
@@ -35,17 +35,17 @@
         self.number = command.number
         self.address = command.group.address
         self.shards = command.group.shards
-        self.asked_at = now
+        self.sent_at = now
         self.accepted = False
 
-    def names_at(self, places: list[int]) -> list[str] | None:
-        """Return the shards at some places of the request; None when one is out of range."""
-        if not all(0 <= place < len(self.shards) for place in places):
+    def shards_at(self, positions: list[int]) -> list[str] | None:
+        """Return the shards at some positions of the request; None when one is out of range."""
+        if not all(0 <= position < len(self.shards) for position in positions):
             return None
-        return [self.shards[place] for place in places]
+        return [self.shards[position] for position in positions]
 
 
-class PeerGroups:
+class OutboundGroups:
     """Hand groups of shards to peers for the gathers of this box."""
 
     def __init__(
@@ -58,11 +58,11 @@
         self._wire = wire
         self._log = log
         self._numbers = count()
-        self._handed_by_id: dict[str, _Handed] = {}
+        self._group_by_id: dict[str, _OutboundGroup] = {}
         self.peer_board = PeerBoard(hub.is_linked)
-        hub.register(GroupAccepted, self._take_accepted)
-        hub.register(GroupDeclined, self._take_declined)
-        hub.register(GroupParts, self._take_parts)
+        hub.register(GroupAccepted, self._receive_accepted)
+        hub.register(GroupDeclined, self._receive_declined)
+        hub.register(GroupParts, self._receive_parts)
         hub.on_link_lost(self._link_lost)
 
     def open_links(self, addresses: Iterable[str]) -> None:
@@ -74,17 +74,17 @@
         """Hand a group to its peer."""
         now = steady_now()
         group_id = str(next(self._numbers))
-        self._handed_by_id[group_id] = _Handed(run, command, now)
+        self._group_by_id[group_id] = _OutboundGroup(run, command, now)
         self._hub.send(
             command.group.address, self._forward_message(group_id, run.task, command, now)
         )
 
     def cancel_group(self, run: GatherRun, command: CancelGroup) -> None:
         """Take a group back."""
-        for group_id, handed in list(self._handed_by_id.items()):
-            if handed.run is run and handed.number == command.number:
-                del self._handed_by_id[group_id]
-                self._hub.send(handed.address, GroupCancel(group_id))
+        for group_id, group in list(self._group_by_id.items()):
+            if group.run is run and group.number == command.number:
+                del self._group_by_id[group_id]
+                self._hub.send(group.address, GroupCancel(group_id))
 
     def peer_silent(self, command: PeerSilent) -> None:
         """Note a peer that showed no life."""
@@ -94,17 +94,17 @@
 
     def forget(self, run: GatherRun) -> None:
         """Drop the groups of a query that ended."""
-        for group_id in [key for key, handed in self._handed_by_id.items() if handed.run is run]:
-            del self._handed_by_id[group_id]
+        for group_id in [key for key, group in self._group_by_id.items() if group.run is run]:
+            del self._group_by_id[group_id]
 
     def _forward_message(
         self, group_id: str, task: GatherTask, command: SendGroup, now: float
     ) -> GroupForward:
         plan, request, group = task.gather.plan, task.request, command.group
-        ways_s = self.peer_board.round_trip_s(group.address)
+        rtt_s = self.peer_board.round_trip_s(group.address)
 
         def left_ms(until: float) -> float:
-            return max(0.0, until - now - ways_s) * MILLISECONDS
+            return max(0.0, until - now - rtt_s) * MILLISECONDS
 
         return GroupForward(
             group_id=group_id,
@@ -129,47 +129,47 @@
             homes=sorted(plan.route.homes),
         )
 
-    def _take_accepted(self, sender: PeerIdentity, message: GroupAccepted) -> None:
-        handed = self._handed_by_id.get(message.group_id)
-        if handed is None or handed.address != sender.address or handed.accepted:
+    def _receive_accepted(self, sender: PeerIdentity, message: GroupAccepted) -> None:
+        group = self._group_by_id.get(message.group_id)
+        if group is None or group.address != sender.address or group.accepted:
             return
-        handed.accepted = True
-        self.peer_board.accepted(handed.address, steady_now() - handed.asked_at)
-        handed.run.task.gather.group_accepted(handed.number)
-        handed.run.perform([])
-
-    def _take_declined(self, sender: PeerIdentity, message: GroupDeclined) -> None:
-        handed = self._handed_by_id.get(message.group_id)
-        if handed is None or handed.address != sender.address:
+        group.accepted = True
+        self.peer_board.accepted(group.address, steady_now() - group.sent_at)
+        group.run.task.gather.group_accepted(group.number)
+        group.run.perform([])
+
+    def _receive_declined(self, sender: PeerIdentity, message: GroupDeclined) -> None:
+        group = self._group_by_id.get(message.group_id)
+        if group is None or group.address != sender.address:
             return
-        names = handed.names_at(message.shards)
+        names = group.shards_at(message.shards)
         if names is None:
             self._reject(sender, message)
             return
-        task = handed.run.task
+        task = group.run.task
         self._log.write(
             "group_declined", id=task.request.request_id, peer=sender.box_id, shards=len(names)
         )
         gather = task.gather
-        handed.run.perform(gather.group_declined(handed.number, names, steady_now()))
+        group.run.perform(gather.group_declined(group.number, names, steady_now()))
 
-    def _take_parts(self, sender: PeerIdentity, message: GroupParts) -> None:
-        handed = self._handed_by_id.get(message.group_id)
-        if handed is None or handed.address != sender.address:
+    def _receive_parts(self, sender: PeerIdentity, message: GroupParts) -> None:
+        group = self._group_by_id.get(message.group_id)
+        if group is None or group.address != sender.address:
             return
-        names = handed.names_at(message.shards)
+        names = group.shards_at(message.shards)
         if names is None or len(names) != len(message.signatures):
             self._reject(sender, message)
             return
         if message.final:
-            del self._handed_by_id[message.group_id]
-        gather = handed.run.task.gather
+            del self._group_by_id[message.group_id]
+        gather = group.run.task.gather
         signature_by_shard = dict(zip(names, message.signatures, strict=True))
         records = split_records(message.records)
         now = steady_now()
-        handed.run.perform(
+        group.run.perform(
             gather.group_parts(
-                handed.number,
+                group.number,
                 signature_by_shard,
                 records,
                 message.final,
@@ -191,6 +191,6 @@
     def _link_lost(self, address: str) -> None:
         now = steady_now()
         self.peer_board.failed(address, now)
-        for group_id, handed in list(self._handed_by_id.items()):
-            if handed.address == address and self._handed_by_id.pop(group_id, None) is not None:
-                handed.run.perform(handed.run.task.gather.group_lost(handed.number, now))
+        for group_id, group in list(self._group_by_id.items()):
+            if group.address == address and self._group_by_id.pop(group_id, None) is not None:
+                group.run.perform(group.run.task.gather.group_lost(group.number, now))
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -21,9 +21,9 @@
 from trackwheel.relay.gather import ENDS_TARGETS, Gather
 from trackwheel.relay.gather_models import Gathered, GatherFailed, GatherPlan
 from trackwheel.relay.grouping import GroupPlanner
-from trackwheel.relay.groups import PeerGroups
 from trackwheel.relay.merge import merge_records
 from trackwheel.relay.models import OPEN_GATE, CallerRequest, Passage, Place, RouteKey, Wire
+from trackwheel.relay.outbound_groups import OutboundGroups
 from trackwheel.relay.peers import PeerBox
 from trackwheel.relay.runs import GatherRun, GatherTask, SingleRun
 from trackwheel.relay.single import Single, SingleAnswered, SingleFailed, SinglePlan
@@ -45,7 +45,7 @@
         board: Board,
         budget: RetryBudget,
         transport: TargetTransport,
-        groups: PeerGroups,
+        groups: OutboundGroups,
         quarantine: Quarantine,
         log: EventLog,
         figures: Figures,
