--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -29,7 +29,7 @@
 from trackwheel.relay.gatherers import choose_gatherers
 from trackwheel.relay.grouping import GroupPlanner
 from trackwheel.relay.models import Load, Outcome, Part, Place, RouteKey, Target, TargetEnd
-from trackwheel.relay.peers import PeerBoard, PeerBox
+from trackwheel.relay.peers import PeerBox, PeerTracker
 
 SEND_S: Final = 0.0004
 """Processor time of one request to a target and its answer, for one core."""
@@ -96,8 +96,8 @@
         self.board = Board(peer.place, seed)
         self.budget = RetryBudget(RetryBudgetLimits(0.2, 10.0, fleet.extra), -100.0)
         self.links: set[str] = set()
-        self.peer_board = PeerBoard(self.links.__contains__)
-        self.planner = GroupPlanner(peer.place, peer.address, self.board, self.peer_board)
+        self.peer_tracker = PeerTracker(self.links.__contains__)
+        self.planner = GroupPlanner(peer.place, peer.address, self.board, self.peer_tracker)
         self.reports = DownReports(self.board)
         self.told: tuple[str, ...] = ()
 
@@ -225,7 +225,7 @@
                 self.on_declined(shards)
             case PeerSilent(address, accepted):
                 if not accepted:
-                    self.box.peer_board.failed(address, self.box.fleet.agenda.now)
+                    self.box.peer_tracker.record_failure(address, self.box.fleet.agenda.now)
             case Gathered() | GatherFailed():
                 self._on_end(command)
 
@@ -317,7 +317,7 @@
 
     def _accepted(self, sender: GatherRun) -> None:
         took_s = sender.box.fleet.agenda.now - self._asked_at
-        sender.box.peer_board.accepted(self.address, took_s)
+        sender.box.peer_tracker.record_accepted(self.address, took_s)
         sender.gather.group_accepted(self._command.number)
 
     def _to_sender(self, box: ModelBox, action: Callable[[GatherRun], None]) -> None:
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1529,7 +1529,7 @@
         SUSPENDED,
         "a timer that was due meanwhile",
         CLOCK + "test_timer_that_was_due_while_suspended_fires_soon_after",
-        Mutant("trackwheel/relay/timer.py", "if delay_s > LONGEST_SLEEP_S:", "if False:"),
+        Mutant("trackwheel/relay/timer.py", "if delay_s > MAX_SLEEP_S:", "if False:"),
     ),
     Row(
         PLATFORM,
--- a/tests/relay/test_gather.py
+++ b/tests/relay/test_gather.py
@@ -23,7 +23,7 @@
 )
 from trackwheel.relay.grouping import GroupPlanner
 from trackwheel.relay.models import OPEN_GATE, Outcome, Part, SendGate
-from trackwheel.relay.peers import PeerBoard, PeerBox
+from trackwheel.relay.peers import PeerBox, PeerTracker
 
 SHARDS = tuple(f"s{number}" for number in range(10))
 ANSWER_AT = 0.18
@@ -709,7 +709,7 @@
 def test_own_slow_target_is_passed_over_with_the_real_planner(
     board: Board, budget: RetryBudget
 ) -> None:
-    planner = GroupPlanner(HERE, "own:1", board, PeerBoard())
+    planner = GroupPlanner(HERE, "own:1", board, PeerTracker())
     planner.set_peers((PeerBox("there:1", THERE),), True)
     make_slow(board, "s0-near")
     session = Session(board, budget, elsewhere=planner)
--- a/tests/relay/test_grouping.py
+++ b/tests/relay/test_grouping.py
@@ -12,7 +12,7 @@
 from trackwheel.relay.gatherers import choose_gatherers
 from trackwheel.relay.grouping import GroupPlanner, group_far_shards
 from trackwheel.relay.models import Place, Target
-from trackwheel.relay.peers import PeerBoard, PeerBox
+from trackwheel.relay.peers import PeerBox, PeerTracker
 
 BESIDE = Place("here", "here-b")
 YONDER = Place("yonder", "yonder-a")
@@ -27,7 +27,7 @@
 def grouped(
     places_by_shard: dict[str, list[Place]],
     peers: tuple[PeerBox, ...] = PEERS,
-    peer_board: PeerBoard | None = None,
+    peer_tracker: PeerTracker | None = None,
     gathers: bool = True,
 ) -> list[tuple[str, tuple[str, ...]]]:
     board = Board(HERE, 1)
@@ -37,7 +37,7 @@
     }
     board.set_targets(targets, 0.0)
     groups = group_far_shards(
-        tuple(places_by_shard), HERE, gathers, peers, board, peer_board or PeerBoard(), 0.0
+        tuple(places_by_shard), HERE, gathers, peers, board, peer_tracker or PeerTracker(), 0.0
     )
     return [(group.peer.address, group.shards) for group in groups]
 
@@ -81,12 +81,12 @@
 def test_peer_that_failed_is_passed_over_for_a_while() -> None:
     places = {"a": [THERE, YONDER], "b": [THERE, YONDER]}
     ((first, _),) = grouped(places)
-    peer_board = PeerBoard()
-    peer_board.failed("there:1", 0.0)
-    assert grouped(places, peer_board=peer_board) == [("yonder:1", ("a", "b"))]
-    peer_board = PeerBoard()
-    peer_board.failed(first, -PEER_AVOID_S)
-    assert {grouped(places, peer_board=peer_board)[0][0] for _ in range(4)} == {first}
+    peer_tracker = PeerTracker()
+    peer_tracker.record_failure("there:1", 0.0)
+    assert grouped(places, peer_tracker=peer_tracker) == [("yonder:1", ("a", "b"))]
+    peer_tracker = PeerTracker()
+    peer_tracker.record_failure(first, -PEER_AVOID_S)
+    assert {grouped(places, peer_tracker=peer_tracker)[0][0] for _ in range(4)} == {first}
 
 
 def test_boxes_hand_their_shards_to_few_peers_and_all_peers_have_work() -> None:
@@ -98,7 +98,7 @@
     peers = tuple(PeerBox(f"there:{n}", THERE, 2.0 if n < 2 else 0.5) for n in range(6))
     picked: Counter[str] = Counter()
     for own in range(200):
-        planner = GroupPlanner(HERE, f"own:{own}", board_of(FAR_ONLY), PeerBoard())
+        planner = GroupPlanner(HERE, f"own:{own}", board_of(FAR_ONLY), PeerTracker())
         planner.set_peers(peers, True)
         found = {planner.first_groups(("a", "b"), ROUTE, 0.2, 0.0)[0].address for _ in range(20)}
         assert len(found) <= PEERS_IN_TURN
@@ -144,7 +144,7 @@
 
 def test_work_follows_speed() -> None:
     peers = [PeerBox("fast:1", HERE, 2.0), PeerBox("slow:1", HERE, 0.5)]
-    board = PeerBoard()
+    board = PeerTracker()
     picked = [board.pick(peers, 0.0) for _ in range(1000)]
     assert 780 <= picked.count(peers[0]) <= 820
     assert max(len(list(run)) for box, run in groupby(picked) if box == peers[0]) <= 8
@@ -206,7 +206,7 @@
 def test_late_shards_go_beside_other_targets(
     tried: dict[str, set[str]], gathers: bool, expected: list[tuple[str, tuple[str, ...]]]
 ) -> None:
-    planner = GroupPlanner(HERE, "own:1", board_of(TARGETS), PeerBoard())
+    planner = GroupPlanner(HERE, "own:1", board_of(TARGETS), PeerTracker())
     planner.set_peers(PEERS, gathers)
     tried_by_shard = {shard: frozenset(targets) for shard, targets in tried.items()}
     groups = planner.groups_elsewhere(tried_by_shard, PLAN, True, 0.0)
@@ -216,13 +216,13 @@
 
 def test_late_shards_go_over_links_that_are_there() -> None:
     """A new link to another region takes longer than the answer may."""
-    peer_board = PeerBoard(lambda address: address == "there:2")
-    planner = GroupPlanner(HERE, "own:1", board_of({"a": [THERE]}), peer_board)
+    peer_tracker = PeerTracker(lambda address: address == "there:2")
+    planner = GroupPlanner(HERE, "own:1", board_of({"a": [THERE]}), peer_tracker)
     planner.set_peers(tuple(PeerBox(f"there:{n}", THERE) for n in range(5)), True)
     for _ in range(3):
         (group,) = planner.groups_elsewhere({"a": frozenset()}, PLAN, True, 0.0)
         assert group.address == "there:2"
-    peer_board.failed("there:2", 0.0)
+    peer_tracker.record_failure("there:2", 0.0)
     (group,) = planner.groups_elsewhere({"a": frozenset()}, PLAN, True, 0.0)
     assert group.address != "there:2"
 
@@ -235,7 +235,7 @@
     peers = [PeerBox(f"{place.failure_domain}:{n}", place) for place in places for n in range(4)]
     wanted: Counter[str] = Counter()
     for own in range(60):
-        planner = GroupPlanner(HERE, f"own:{own}", Board(HERE, 1), PeerBoard())
+        planner = GroupPlanner(HERE, f"own:{own}", Board(HERE, 1), PeerTracker())
         assert planner.links_wanted() == []
         planner.set_peers(tuple(peers), gathers)
         links = planner.links_wanted()
--- a/tests/relay/test_homes.py
+++ b/tests/relay/test_homes.py
@@ -15,7 +15,7 @@
 from trackwheel.relay.gather_models import GatherFailed, GatherPlan, SendGroup, SendPart
 from trackwheel.relay.grouping import GroupPlanner
 from trackwheel.relay.models import Outcome, Place, RouteKey, TargetEnd
-from trackwheel.relay.peers import RELAY_MESSAGES, GroupForward, PeerBoard, PeerBox
+from trackwheel.relay.peers import RELAY_MESSAGES, GroupForward, PeerBox, PeerTracker
 from trackwheel.relay.single import SendSingle, Single, SingleFailed, SinglePlan
 
 BESIDE = Place("here", "here-b")
@@ -45,7 +45,7 @@
 
 
 def make_planner(board: Board, gathers: bool = True) -> GroupPlanner:
-    planner = GroupPlanner(HERE, "own:1", board, PeerBoard())
+    planner = GroupPlanner(HERE, "own:1", board, PeerTracker())
     planner.set_peers(PEERS, gathers)
     return planner
 
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -13,7 +13,7 @@
 from trackwheel.platform.decode import decode_routes
 from trackwheel.platform.load import LoadReader
 from trackwheel.platform.wire import PlatformWire
-from trackwheel.relay.const import EARLY_WAIT_S
+from trackwheel.relay.const import STARTUP_WAIT_S
 from trackwheel.relay.service import RelayService
 
 HEADERS = ((b"x-attempt-id", b"r1"), (b"x-deadline-ms", b"500"))
@@ -28,7 +28,7 @@
         self.answers: list[Response] = []
         log: Any = SimpleNamespace(write=lambda kind, **fields: self.events.append((kind, fields)))
         part: Any = None
-        groups: Any = SimpleNamespace(peer_board=None)
+        groups: Any = SimpleNamespace(peer_tracker=None)
         wire = PlatformWire(LoadReader(log))
         self.relay = RelayService(wire, part, part, part, groups, part, log, part, HERE, "o:1")
 
@@ -53,7 +53,7 @@
     async def scenario() -> None:
         await fixture.ask()
         assert not fixture.answers
-        await asyncio.sleep(EARLY_WAIT_S * 1.5)
+        await asyncio.sleep(STARTUP_WAIT_S * 1.5)
 
     asyncio.run(scenario())
     (answer,) = fixture.answers
@@ -78,14 +78,14 @@
         if leaves:
             exchange.on_gone()
         fixture.relay.set_table(decode_routes(json.dumps(CONFIG).encode()).unwrap())
-        await asyncio.sleep(EARLY_WAIT_S * 1.5)
+        await asyncio.sleep(STARTUP_WAIT_S * 1.5)
 
     asyncio.run(scenario())
     assert [answer.status for answer in fixture.answers] == ([] if leaves else [404])
 
 
 def test_too_many_that_wait_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("trackwheel.relay.early.EARLY_HELD", 1)
+    monkeypatch.setattr("trackwheel.relay.startup_queue.STARTUP_MAX_WAITING", 1)
     fixture = Fixture()
 
     async def scenario() -> None:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -10,7 +10,7 @@
 from trackwheel.clock import steady_now
 from trackwheel.fleet.membership import Membership, Timing
 from trackwheel.fleet.models import Member, Rejoined, Status
-from trackwheel.relay.timer import LONGEST_SLEEP_S, Timer
+from trackwheel.relay.timer import MAX_SLEEP_S, Timer
 
 SOURCES = sorted(Path(__file__).parent.parent.joinpath("trackwheel").rglob("*.py"))
 SUSPENDED_S = 8.0
@@ -53,13 +53,13 @@
         await asyncio.wait_for(fired.wait(), SUSPENDED_S / 2)
         return time.monotonic() - woke_at
 
-    assert asyncio.run(scenario()) < 2 * LONGEST_SLEEP_S
+    assert asyncio.run(scenario()) < 2 * MAX_SLEEP_S
 
 
 def test_timer_is_not_early() -> None:
     async def scenario() -> None:
         fired = asyncio.Event()
-        at = steady_now() + 2.5 * LONGEST_SLEEP_S
+        at = steady_now() + 2.5 * MAX_SLEEP_S
         Timer(fired.set).set(at)
         await fired.wait()
         assert at - 0.01 < steady_now() < at + 0.3
--- a/trackwheel/relay/const.py
+++ b/trackwheel/relay/const.py
@@ -112,11 +112,11 @@
 NO_ROUTES_RETRY_AFTER_S: Final = 0.5
 """When to come back to a box that knows no configuration yet."""
 
-EARLY_WAIT_S: Final = 0.1
+STARTUP_WAIT_S: Final = 0.1
 """How long a request waits at a box that knows no configuration yet. One is read within some 50 ms
 of a start; a client that is refused comes back after its aim. So came 35 of 3,100 requests when all
 boxes were lost once and three were added."""
-EARLY_HELD: Final = 500
+STARTUP_MAX_WAITING: Final = 500
 """Requests that wait so at most; more are refused at once."""
 
 ACCEPT_SLACK_S: Final = 0.04
--- a/trackwheel/relay/grouping.py
+++ b/trackwheel/relay/grouping.py
@@ -16,7 +16,7 @@
 )
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan
 from trackwheel.relay.models import Place, RouteKey
-from trackwheel.relay.peers import PeerBoard, PeerBox
+from trackwheel.relay.peers import PeerBox, PeerTracker
 
 RING_PLACES: Final = 2**64
 FARTHEST: Final = 2
@@ -33,11 +33,13 @@
 class GroupPlanner:
     """Divide the shards of a query among this box and the peers beside their targets."""
 
-    def __init__(self, own: Place, own_address: str, board: Board, peer_board: PeerBoard) -> None:
+    def __init__(
+        self, own: Place, own_address: str, board: Board, peer_tracker: PeerTracker
+    ) -> None:
         self._own = own
         self._own_address = own_address
         self._board = board
-        self._peer_board = peer_board
+        self._peer_tracker = peer_tracker
         self._peers: tuple[PeerBox, ...] = ()
         self._gathers = True
 
@@ -58,7 +60,7 @@
             self._gathers and route.allows(self._own.region),
             self._peers_for(route),
             self._board,
-            self._peer_board,
+            self._peer_tracker,
             now,
         )
         return tuple(self._plan(group, route, answer_at, False, now) for group in groups)
@@ -91,7 +93,7 @@
                 for place in peers_by_place
             }
             for peer, held in _fewest(
-                held_by_place, left, peers_by_place, self._peer_board, now, LEAST_GROUP_ELSEWHERE
+                held_by_place, left, peers_by_place, self._peer_tracker, now, LEAST_GROUP_ELSEWHERE
             ):
                 groups.append(ShardGroup(peer, tuple(sorted(held))))
                 left -= held
@@ -102,7 +104,7 @@
     ) -> GroupPlan:
         """Return a group with the times at which its peer should have accepted and reported."""
         address = group.peer.address
-        accept_by = now + self._peer_board.round_trip_s(address) + ACCEPT_SLACK_S
+        accept_by = now + self._peer_tracker.round_trip_s(address) + ACCEPT_SLACK_S
         report_by = self._report_by(route, address, answer_at, now)
         return GroupPlan(address, group.peer.place, group.shards, accept_by, report_by, repeat)
 
@@ -154,13 +156,13 @@
         allowed = self._peers_for(route)
         for distance in range(FARTHEST + 1):
             near = [peer for peer in allowed if _distance(peer.place, self._own) == distance]
-            yield _by_place(self._peer_board.linked(near))
+            yield _by_place(self._peer_tracker.with_link(near))
             yield _by_place(near)
 
     def _report_by(self, route: RouteKey, address: str, answer_at: float, now: float) -> float:
         """Return when a peer reports what is in: other targets can then still be asked."""
         latest = answer_at - HEDGE_RESERVE_PACES * self._board.usual_s(route, far=True)
-        usual_s = self._peer_board.round_trip_s(address)
+        usual_s = self._peer_tracker.round_trip_s(address)
         usual_s += HEDGE_EARLIEST_PACES * self._board.usual_s(route, far=False)
         return max(latest, now + usual_s)
 
@@ -171,7 +173,7 @@
     gathers: bool,
     peers: tuple[PeerBox, ...],
     board: Board,
-    peer_board: PeerBoard,
+    peer_tracker: PeerTracker,
     now: float,
 ) -> list[ShardGroup]:
     """Return the shards that peers ask for this box, in as few groups as will do.
@@ -190,7 +192,7 @@
             if _distance(place, own) == distance
         }
         for chosen, held in _fewest(
-            held_by_place, left, peers_by_place, peer_board, now, LEAST_GROUP
+            held_by_place, left, peers_by_place, peer_tracker, now, LEAST_GROUP
         ):
             groups.append(ShardGroup(chosen, tuple(shard for shard in shards if shard in held)))
             left -= held
@@ -215,7 +217,7 @@
     held_by_place: dict[Place, set[str]],
     wanted: set[str],
     peers_by_place: dict[Place, list[PeerBox]],
-    peer_board: PeerBoard,
+    peer_tracker: PeerTracker,
     now: float,
     least: int,
 ) -> list[tuple[PeerBox, set[str]]]:
@@ -232,7 +234,7 @@
         # Of places that hold as many the first one, so that the same links are used again.
         best = next(place for place, held in held_by_place.items() if len(held & left) == most)
         held = held_by_place.pop(best) & left
-        chosen = peer_board.pick(peers_by_place[best], now)
+        chosen = peer_tracker.pick(peers_by_place[best], now)
         if chosen is None:
             continue
         found.append((chosen, held))
--- a/trackwheel/relay/outbound_groups.py
+++ b/trackwheel/relay/outbound_groups.py
@@ -20,7 +20,7 @@
     GroupDeclined,
     GroupForward,
     GroupParts,
-    PeerBoard,
+    PeerTracker,
 )
 from trackwheel.relay.runs import GatherRun, GatherTask
 from trackwheel.telemetry.events import EventLog
@@ -59,7 +59,7 @@
         self._log = log
         self._numbers = count()
         self._group_by_id: dict[str, _OutboundGroup] = {}
-        self.peer_board = PeerBoard(hub.is_linked)
+        self.peer_tracker = PeerTracker(hub.is_linked)
         hub.register(GroupAccepted, self._receive_accepted)
         hub.register(GroupDeclined, self._receive_declined)
         hub.register(GroupParts, self._receive_parts)
@@ -89,7 +89,7 @@
     def peer_silent(self, command: PeerSilent) -> None:
         """Note a peer that showed no life."""
         if not command.accepted:
-            self.peer_board.failed(command.address, steady_now())
+            self.peer_tracker.record_failure(command.address, steady_now())
         self._log.write("peer_silent", peer=command.address, accepted=command.accepted)
 
     def forget(self, run: GatherRun) -> None:
@@ -101,7 +101,7 @@
         self, group_id: str, task: GatherTask, command: SendGroup, now: float
     ) -> GroupForward:
         plan, request, group = task.gather.plan, task.request, command.group
-        rtt_s = self.peer_board.round_trip_s(group.address)
+        rtt_s = self.peer_tracker.round_trip_s(group.address)
 
         def left_ms(until: float) -> float:
             return max(0.0, until - now - rtt_s) * MILLISECONDS
@@ -134,7 +134,7 @@
         if group is None or group.address != sender.address or group.accepted:
             return
         group.accepted = True
-        self.peer_board.accepted(group.address, steady_now() - group.sent_at)
+        self.peer_tracker.record_accepted(group.address, steady_now() - group.sent_at)
         group.run.task.gather.group_accepted(group.number)
         group.run.perform([])
 
@@ -190,7 +190,7 @@
 
     def _link_lost(self, address: str) -> None:
         now = steady_now()
-        self.peer_board.failed(address, now)
+        self.peer_tracker.record_failure(address, now)
         for group_id, group in list(self._group_by_id.items()):
             if group.address == address and self._group_by_id.pop(group_id, None) is not None:
                 group.run.perform(group.run.task.gather.group_lost(group.number, now))
--- a/trackwheel/relay/peers.py
+++ b/trackwheel/relay/peers.py
@@ -84,7 +84,7 @@
 RELAY_MESSAGES: Final = (GroupForward, GroupAccepted, GroupDeclined, GroupParts, GroupCancel)
 
 
-GOLDEN_SHARE: Final = 0.6180339887
+GOLDEN_RATIO_STEP: Final = 0.6180339887
 """Step of the turn among peers: its multiples fall evenly into parts of any size."""
 
 
@@ -97,7 +97,7 @@
     """How fast its processor is, in cores."""
 
 
-class PeerBoard:
+class PeerTracker:
     """Know the round trip to each peer and which ones showed no life lately."""
 
     def __init__(self, is_linked: Callable[[str], bool] = lambda address: False) -> None:
@@ -110,13 +110,13 @@
         """Return the usual time to a peer and back (seconds)."""
         return self._round_trip_by_address.get(address, FIRST_ROUND_TRIP_S)
 
-    def accepted(self, address: str, after_s: float) -> None:
+    def record_accepted(self, address: str, took_s: float) -> None:
         """Take how long a peer took to accept."""
-        before = self._round_trip_by_address.get(address, after_s)
-        self._round_trip_by_address[address] = before + (after_s - before) * ROUND_TRIP_WEIGHT
+        before = self._round_trip_by_address.get(address, took_s)
+        self._round_trip_by_address[address] = before + (took_s - before) * ROUND_TRIP_WEIGHT
         self._avoid_until_by_address.pop(address, None)
 
-    def failed(self, address: str, now: float) -> None:
+    def record_failure(self, address: str, now: float) -> None:
         """Take that a peer showed no life, or was lost."""
         self._avoid_until_by_address[address] = now + PEER_AVOID_S
 
@@ -134,8 +134,8 @@
             return None
         self._turn += 1
         speeds = list(accumulate(peer.speed for peer in usable))
-        return usable[bisect_right(speeds, self._turn * GOLDEN_SHARE % 1.0 * speeds[-1])]
+        return usable[bisect_right(speeds, self._turn * GOLDEN_RATIO_STEP % 1.0 * speeds[-1])]
 
-    def linked(self, peers: Iterable[PeerBox]) -> list[PeerBox]:
+    def with_link(self, peers: Iterable[PeerBox]) -> list[PeerBox]:
         """Return the peers to which a link stands."""
         return [peer for peer in peers if self._is_linked(peer.address)]
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -17,7 +17,6 @@
     RETRY_AFTER_S,
     RETURN_MARGIN_S,
 )
-from trackwheel.relay.early import EarlyRequests
 from trackwheel.relay.gather import ENDS_TARGETS, Gather
 from trackwheel.relay.gather_models import Gathered, GatherFailed, GatherPlan
 from trackwheel.relay.grouping import GroupPlanner
@@ -27,6 +26,7 @@
 from trackwheel.relay.peers import PeerBox
 from trackwheel.relay.runs import GatherRun, GatherTask, SingleRun
 from trackwheel.relay.single import Single, SingleAnswered, SingleFailed, SinglePlan
+from trackwheel.relay.startup_queue import StartupQueue
 from trackwheel.relay.timer import Timer
 from trackwheel.relay.transport import TargetTransport
 from trackwheel.routing.models import Route, RouteTable
@@ -63,14 +63,14 @@
         self.ended_by_kind: Counter[tuple[str]] = Counter()
         self._divider = WeightedDivider()
         self._table: RouteTable | None = None
-        self._early = EarlyRequests(self.handle, self._refuse_without_routes)
-        self._planner = GroupPlanner(place, address, board, groups.peer_board)
+        self._startup_queue = StartupQueue(self.handle, self._refuse_without_routes)
+        self._planner = GroupPlanner(place, address, board, groups.peer_tracker)
         self._links_timer = Timer(self._open_links)
 
     def set_table(self, table: RouteTable) -> None:
         """Take a configuration; requests under way keep the one they began with."""
         self._table = table
-        self._early.release()
+        self._startup_queue.release()
 
     def set_peers(self, peers: tuple[PeerBox, ...], gathers: bool) -> None:
         """Take the boxes to which shards may be handed, and whether this box asks targets."""
@@ -84,7 +84,7 @@
         """Serve one request of a client."""
         table = self._table
         if table is None:
-            self._early.take(request, exchange)
+            self._startup_queue.add(request, exchange)
             return
         caller = self._wire.read_request(request)
         route = find_route(table, caller.host, caller.path)
--- /dev/null
+++ b/trackwheel/relay/startup_queue.py
@@ -0,0 +1,54 @@
+"""Requests that come to a box before it knows any configuration."""
+
+import asyncio
+from collections.abc import Callable
+from functools import partial
+from typing import NamedTuple
+
+from trackwheel.http1.models import Request
+from trackwheel.http1.server import Exchange
+from trackwheel.relay.const import STARTUP_MAX_WAITING, STARTUP_WAIT_S
+
+RequestHandler = Callable[[Request, Exchange], None]
+
+
+class _Waiting(NamedTuple):
+    request: Request
+    timer: asyncio.TimerHandle
+
+
+class StartupQueue:
+    """Hold requests for the moment in which a box that starts reads its configuration.
+
+    A client that is refused comes back later than its answer would have come.
+    """
+
+    def __init__(self, handle: RequestHandler, refuse: RequestHandler) -> None:
+        self._handle = handle
+        self._refuse = refuse
+        self._waiting_by_exchange: dict[Exchange, _Waiting] = {}
+
+    def add(self, request: Request, exchange: Exchange) -> None:
+        """Hold a request; refuse it when nothing is known in time, or when too many wait."""
+        if len(self._waiting_by_exchange) >= STARTUP_MAX_WAITING:
+            self._refuse(request, exchange)
+            return
+        exchange.on_gone = partial(self._client_left, exchange)
+        timer = asyncio.get_running_loop().call_later(STARTUP_WAIT_S, self._time_out, exchange)
+        self._waiting_by_exchange[exchange] = _Waiting(request, timer)
+
+    def release(self) -> None:
+        """Handle what waits, now that a configuration is known."""
+        for exchange in list(self._waiting_by_exchange):
+            self._handle(self._remove(exchange), exchange)
+
+    def _client_left(self, exchange: Exchange) -> None:
+        self._remove(exchange)
+
+    def _time_out(self, exchange: Exchange) -> None:
+        self._refuse(self._remove(exchange), exchange)
+
+    def _remove(self, exchange: Exchange) -> Request:
+        waiting = self._waiting_by_exchange.pop(exchange)
+        waiting.timer.cancel()
+        return waiting.request
--- a/trackwheel/relay/timer.py
+++ b/trackwheel/relay/timer.py
@@ -6,7 +6,7 @@
 
 from trackwheel.clock import steady_now
 
-LONGEST_SLEEP_S: Final = 0.5
+MAX_SLEEP_S: Final = 0.5
 """A timer looks at the time at least so often. Those of the event loop stand still while the box is
 suspended: without a look a request would be held on for as long as the box was away."""
 
@@ -23,8 +23,8 @@
         self.stop()
         delay_s = max(0.0, at - steady_now())
         loop = asyncio.get_running_loop()
-        if delay_s > LONGEST_SLEEP_S:
-            self._handle = loop.call_later(LONGEST_SLEEP_S, self.set, at)
+        if delay_s > MAX_SLEEP_S:
+            self._handle = loop.call_later(MAX_SLEEP_S, self.set, at)
         else:
             self._handle = loop.call_later(delay_s, self._action)
 
