--- a/bench/policy_shifted.py
+++ b/bench/policy_shifted.py
@@ -16,7 +16,7 @@
 from bench.policy_fleet import Kind, ModelFleet, Tally, credit_share
 from bench.policy_targets import Habits, Trouble
 from bench.report import Report, Series
-from trackwheel.relay import asking, attempts
+from trackwheel.relay import attempts, shard_requester
 from trackwheel.relay.attempts import NEVER
 from trackwheel.relay.board import Choice
 from trackwheel.relay.models import Place, Target
@@ -90,7 +90,7 @@
 def play(scenario: Scenario, variant: Variant, seed: int, seconds: float) -> dict[str, Tally]:
     """Return how the queries of one play ended, by kind."""
     random = Random(seed)
-    with patch.object(asking, "hedge_time", variant.hedge):
+    with patch.object(shard_requester, "hedge_time", variant.hedge):
         fleet = make_fleet(seed)
         for server in fleet.target_by_instance.values():
             if random.random() < scenario.share:
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1035,7 +1035,7 @@
         "all targets of a shard refuse it, with time left",
         SHARDS + "test_shard_that_all_targets_refused_is_asked_again_within_the_aim",
         Mutant(
-            "trackwheel/relay/asking.py",
+            "trackwheel/relay/shard_requester.py",
             "elif refusal is Refusal.NOT_NOW and not self._plan.repeat:",
             "elif False:",
         ),
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -15,7 +15,6 @@
 from collections.abc import Sequence
 from typing import Final
 
-from trackwheel.relay.asking import DECLINED, ShardAsking
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.closings import Closings
@@ -29,10 +28,11 @@
     PeerSilent,
     Regrouping,
 )
+from trackwheel.relay.group_delegator import GroupDelegator
 from trackwheel.relay.handed import HandedGroups
-from trackwheel.relay.handing import GroupHanding
 from trackwheel.relay.models import Outcome, Part, Passage, TargetEnd
 from trackwheel.relay.parts import PartsIn
+from trackwheel.relay.shard_requester import DECLINED, ShardRequester
 from trackwheel.relay.shards import ShardBook
 
 ENDS_TARGETS: Final = "targets end under it"
@@ -54,10 +54,10 @@
         self._shards = ShardBook(plan)
         self._groups = HandedGroups()
         self.parts = PartsIn(plan.shards, plan.top_k)
-        self._handing = GroupHanding(
+        self._delegator = GroupDelegator(
             plan, board, self._shards, self._groups, self.parts, regrouping
         )
-        self._asking = ShardAsking(plan, board, budget, self._shards, self._groups)
+        self._requester = ShardRequester(plan, board, budget, self._shards, self._groups)
         self._peers_ran = False
         self._closings = Closings()
         self._commands: list[GatherCommand] = []
@@ -66,7 +66,7 @@
     def start(self, now: float) -> list[GatherCommand]:
         """Hand the groups to their peers and ask the best target of each other shard."""
         for group in self.plan.groups:
-            self._commands.append(self._handing.hand_over(group))
+            self._commands.append(self._delegator.delegate(group))
         own = self._shards.without_group()
         reason = "repeat" if self.plan.repeat else "first"
         left_to_others = self._leave_to_others(own, now)
@@ -121,7 +121,7 @@
         self, token: int, end: TargetEnd, part: Part | None, now: float
     ) -> list[GatherCommand]:
         """Take the end of one request; `part` is there when it brought the shard's records."""
-        name = self._asking.ended(token)
+        name = self._requester.pop_ended(token)
         if self.ended or name is None:
             return []
         shard = self._shards[name]
@@ -136,7 +136,7 @@
         if end.outcome is Outcome.CLOSED:
             self._closings.own += 1
         if self._is_doubtful():
-            self._asking.hold_back(name, now)
+            self._requester.hold_back(name, now)
         else:
             self._ask(name, end.outcome.value, now)
         return self._finish_or_go_on(now)
@@ -173,7 +173,7 @@
         if final:
             self._release(number, "lacking", now)
         elif not group.plan.repeat:
-            self._ask_elsewhere(self._handing.shards_of(number), "hedge", now)
+            self._ask_elsewhere(self._delegator.pending_shards(number), "hedge", now)
         return self._finish_or_go_on(now)
 
     def group_declined(self, number: int, shards: Sequence[str], now: float) -> list[GatherCommand]:
@@ -181,7 +181,7 @@
         if self.ended or number not in self._groups:
             return []
         repeat = self._groups[number].plan.repeat
-        declined = [name for name in self._handing.shards_of(number) if name in shards]
+        declined = [name for name in self._delegator.pending_shards(number) if name in shards]
         for name in declined:
             self._shards[name].groups.discard(number)
             if repeat:
@@ -251,19 +251,19 @@
             self._lose(number, "peer silent", now)
             return
         # Its parts still count when they come.
-        self._ask_elsewhere(self._handing.shards_of(number), "peer late", now)
+        self._ask_elsewhere(self._delegator.pending_shards(number), "peer late", now)
 
     def _lose(self, number: int, reason: str, now: float) -> None:
         """Await nothing more of a peer that told nothing; its targets may be asked again."""
         # It may have asked them all the same.
         self._peers_ran = True
-        for name in self._handing.shards_of(number):
+        for name in self._delegator.pending_shards(number):
             self._shards[name].attempts.forget_tried()
         self._release(number, reason, now)
 
     def _release(self, number: int, reason: str, now: float) -> None:
         """Await nothing more of a peer; ask elsewhere for what it did not bring."""
-        shards = self._handing.shards_of(number)
+        shards = self._delegator.pending_shards(number)
         self._groups.pop(number)
         for name in shards:
             self._shards[name].groups.discard(number)
@@ -274,7 +274,7 @@
         lacking = [name for name in names if name not in self.parts]
         if self._is_doubtful():
             for name in lacking:
-                self._asking.hold_back(name, now)
+                self._requester.hold_back(name, now)
             return
         handed = self._hand_elsewhere(lacking, True, now)
         for name in lacking:
@@ -283,7 +283,7 @@
 
     def _hand_elsewhere(self, names: Sequence[str], repeat: bool, now: float) -> set[str]:
         """Hand shards to peers beside targets that were not tried; return which were handed."""
-        sent = self._handing.hand_elsewhere(names, repeat, now)
+        sent = self._delegator.delegate_elsewhere(names, repeat, now)
         self._commands += sent
         return {name for command in sent for name in command.group.shards}
 
@@ -312,7 +312,7 @@
 
     def _ask(self, name: str, reason: str, now: float) -> None:
         """Ask a target for a shard, now or soon, or take it as lost."""
-        sent = self._asking.ask_or_hold_back(name, reason, now)
+        sent = self._requester.ask_or_hold_back(name, reason, now)
         if sent is not None:
             self._commands.append(sent)
 
@@ -367,12 +367,12 @@
     def _end(self) -> None:
         self.ended = True
         for shard in self._shards.all:
-            self._commands += self._asking.withdraw(shard)
+            self._commands += self._requester.withdraw(shard)
         for number, group in self._groups.take_all().items():
             if any(name not in self.parts for name in group.plan.shards):
                 self._commands.append(CancelGroup(number, group.plan.address))
 
     def _came_in(self, name: str) -> None:
         """Await nothing more for a shard."""
-        self._commands += self._asking.withdraw(self._shards[name])
+        self._commands += self._requester.withdraw(self._shards[name])
         self._shards.came_in(name)
--- a/trackwheel/relay/handing.py
+++ b/trackwheel/relay/group_delegator.py
@@ -10,7 +10,7 @@
 from trackwheel.relay.shards import ShardBook
 
 
-class GroupHanding:
+class GroupDelegator:
     """Hand groups of shards over, and know which shards are left to which peer."""
 
     def __init__(
@@ -29,7 +29,7 @@
         self._parts = parts
         self._regrouping = regrouping
 
-    def hand_over(self, group: GroupPlan) -> SendGroup:
+    def delegate(self, group: GroupPlan) -> SendGroup:
         """Leave a group to a peer: a first one with all attempts but one, a repeat with one."""
         handed = HandedGroup(group, self._spare_of(group))
         number = self._groups.add(handed)
@@ -39,16 +39,16 @@
             shard = self._shards[name]
             shard.groups.add(number)
             self._shards.asked(name)
-            beside = {t.instance for t in self._board.targets(name) if t.place == group.place}
+            local = {t.instance for t in self._board.targets(name) if t.place == group.place}
             if group.repeat:
-                shard.attempts.lend(beside)
+                shard.attempts.lend(local)
             else:
-                shard.attempts.give_away(self._plan.peer_attempts, beside)
+                shard.attempts.give_away(self._plan.peer_attempts, local)
         floor = self._parts.floor() if group.repeat else b""
         return SendGroup(number, group, floor, handed.least_coverage)
 
-    def hand_elsewhere(self, names: Sequence[str], repeat: bool, now: float) -> list[SendGroup]:
-        """Hand shards to peers beside targets that were not tried, where the query may go there."""
+    def delegate_elsewhere(self, names: Sequence[str], repeat: bool, now: float) -> list[SendGroup]:
+        """Hand shards to peers local targets that were not tried, where the query may go there."""
         tried_by_shard = {
             name: self._shards[name].attempts.tried
             for name in names
@@ -59,9 +59,9 @@
         if self._plan.gate.passage(now) is not Passage.OPEN:
             return []
         groups = self._regrouping.groups_elsewhere(tried_by_shard, self._plan, repeat, now)
-        return [self.hand_over(group) for group in groups]
+        return [self.delegate(group) for group in groups]
 
-    def shards_of(self, number: int) -> list[str]:
+    def pending_shards(self, number: int) -> list[str]:
         """Return the shards that are left to a peer."""
         return self._shards.in_group(self._groups[number].plan.shards, number)
 
--- a/trackwheel/relay/asking.py
+++ b/trackwheel/relay/shard_requester.py
@@ -14,7 +14,7 @@
 """Why a shard is asked for that a peer has left to others."""
 
 
-class ShardAsking:
+class ShardRequester:
     """Send shards to targets, hold back those that may not be asked for now, give up the rest."""
 
     def __init__(
@@ -42,20 +42,20 @@
             return asked
         in_time = now < self._plan.answer_at
         # Peers that may not ask a target now may in a while; each look costs a message.
-        again_at = self._again_at(in_time and reason != DECLINED, now)
-        self._put_off(name, asked, in_time, again_at, now)
+        retry_at = self._retry_at(in_time and reason != DECLINED, now)
+        self._schedule_retry(name, asked, in_time, retry_at, now)
         return None
 
     def hold_back(self, name: str, now: float) -> None:
         """Ask nobody for a shard now, and look at it again soon."""
-        self._shards.hold_back(name, self._again_at(now < self._plan.answer_at, now))
+        self._shards.hold_back(name, self._retry_at(now < self._plan.answer_at, now))
 
-    def _again_at(self, soon: bool, now: float) -> float:
+    def _retry_at(self, soon: bool, now: float) -> float:
         """Return when a shard that may not be asked for now is looked at again."""
         paces = RETRY_PACES if soon else LATE_RETRY_PACES
         return now + paces * self._board.usual_s(self._plan.route, far=False)
 
-    def ended(self, token: int) -> str | None:
+    def pop_ended(self, token: int) -> str | None:
         """Return the shard of a request that ended; None when it was withdrawn."""
         return self._shard_name_by_token.pop(token, None)
 
@@ -68,29 +68,29 @@
         shard.attempts.target_by_token.clear()
         return commands
 
-    def _put_off(
-        self, name: str, refusal: Refusal, in_time: bool, again_at: float, now: float
+    def _schedule_retry(
+        self, name: str, refusal: Refusal, in_time: bool, retry_at: float, now: float
     ) -> None:
         """Look at a shard again at a time, or take it as lost."""
         shard = self._shards[name]
         if shard.waits:
             if refusal is Refusal.NOT_NOW and in_time:
-                self._shards.hedge(name, again_at)
+                self._shards.hedge(name, retry_at)
         elif refusal is Refusal.NOT_NOW and not self._plan.repeat:
-            self._shards.hold_back(name, again_at)
+            self._shards.hold_back(name, retry_at)
         elif refusal is Refusal.DOWN and in_time and not self._plan.repeat:
             # A target that is back before the aim still serves in time; later nobody gains.
-            self._shards.hold_back(name, max(again_at, shard.attempts.rests_until))
+            self._shards.hold_back(name, max(retry_at, shard.attempts.rests_until))
         else:
             self._shards.lose([name])
-            shard.last_failure = shard.last_failure or self._why_lost(name, now)
+            shard.last_failure = shard.last_failure or self._no_target_reason(name, now)
 
-    def _why_lost(self, name: str, now: float) -> str:
+    def _no_target_reason(self, name: str, now: float) -> str:
         """Return why no target may be asked for a shard; nothing when some were."""
         lack = self._board.lack(name, self._plan.route, now)
         return "" if lack is Lack.TRIED else lack.value
 
-    def _needs(self, name: str) -> bool:
+    def _is_needed(self, name: str) -> bool:
         """Return whether the answer fails without a shard, since too many others lack."""
         return self._shards.left_out_besides(name) >= self._shards.spare - self._groups.spare
 
@@ -98,7 +98,7 @@
         """Return the request to one more target, or why there is none."""
         shard = self._shards[name]
         choices = shard.attempts.choose(
-            self._board, self._budget, self._plan.route, now, self._needs(name)
+            self._board, self._budget, self._plan.route, now, self._is_needed(name)
         )
         if isinstance(choices, Refusal):
             return choices
