--- a/bench/policy.py
+++ b/bench/policy.py
@@ -12,7 +12,7 @@
 from bench.policy_targets import Trouble
 from bench.report import Report, Series
 from trackwheel.relay import peers
-from trackwheel.relay.const import PEERS_IN_TURN
+from trackwheel.relay.const import PEERS_IN_ROTATION
 from trackwheel.relay.models import Place, Target
 from trackwheel.relay.peers import PeerBox
 
@@ -75,8 +75,8 @@
         for n in range(BOXES_PER_DOMAIN)
     ]
     targets = {f"s{n}": _targets(f"s{n}", n) for n in range(SHARDS)}
-    in_turn = PEERS_IN_TURN if variant.few_peers else len(boxes)
-    with patch.object(peers, "PEERS_IN_TURN", in_turn):
+    in_turn = PEERS_IN_ROTATION if variant.few_peers else len(boxes)
+    with patch.object(peers, "PEERS_IN_ROTATION", in_turn):
         fleet = ModelFleet(
             boxes, targets, seed, variant.news, variant.links_open, variant.speeds_told
         )
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -851,7 +851,7 @@
         CHOICE + "test_target_whose_address_another_one_has_is_not_even_a_last_resort",
         Mutant(
             "trackwheel/relay/record.py",
-            "self.ejected_until = self.gone_until = now + GONE_S",
+            "self.ejected_until = self.gone_until = now + REPLACED_EJECT_S",
             "pass",
         ),
     ),
@@ -1047,7 +1047,7 @@
         SHARDS + "test_shards_that_may_lack_leave_a_reserve",
         Mutant(
             "trackwheel/relay/budget.py",
-            "            allowed *= 1.0 - RESERVE_FOR_NEEDED\n",
+            "            allowed *= 1.0 - BUDGET_RESERVE_SHARE\n",
             "            pass\n",
         ),
     ),
--- a/tests/relay/test_board.py
+++ b/tests/relay/test_board.py
@@ -4,7 +4,7 @@
 
 from tests.relay.conftest import HERE, ROUTE, THERE, target
 from trackwheel.relay.board import Board
-from trackwheel.relay.const import EJECT_AFTER, GONE_S, LONGEST_EJECT_S
+from trackwheel.relay.const import EJECT_AFTER_FAILURES, MAX_EJECT_S, REPLACED_EJECT_S
 from trackwheel.relay.models import Load, Outcome, Target
 
 NEAR = target("near", "s")
@@ -83,8 +83,8 @@
     [
         pytest.param(Outcome.NOT_SENT, 1, True, id="no-connection-at-once"),
         pytest.param(Outcome.FAILED, 1, False, id="one-failure"),
-        pytest.param(Outcome.FAILED, EJECT_AFTER, True, id="failures-in-a-row"),
-        pytest.param(Outcome.BROKEN, EJECT_AFTER, True, id="broken-in-a-row"),
+        pytest.param(Outcome.FAILED, EJECT_AFTER_FAILURES, True, id="failures-in-a-row"),
+        pytest.param(Outcome.BROKEN, EJECT_AFTER_FAILURES, True, id="broken-in-a-row"),
         pytest.param(Outcome.NOT_RUN, 8, False, id="shedding-is-no-fault"),
     ],
 )
@@ -95,7 +95,7 @@
         fail(board, NEAR, 4.0, outcome)
     (choice,) = board.rank("s", ROUTE, 4.01)
     assert choice.last_resort is left
-    (later,) = board.rank("s", ROUTE, 4.01 + LONGEST_EJECT_S)
+    (later,) = board.rank("s", ROUTE, 4.01 + MAX_EJECT_S)
     assert not later.last_resort
 
 
@@ -143,4 +143,4 @@
     assert ranked == ["other"]
     board.set_targets({"s": (gone,)}, 0.0)
     assert not board.has_target_at("s", HERE, 5.0)
-    assert [choice.target for choice in board.rank("s", ROUTE, GONE_S + 0.02)] == [gone]
+    assert [choice.target for choice in board.rank("s", ROUTE, REPLACED_EJECT_S + 0.02)] == [gone]
--- a/tests/relay/test_grouping.py
+++ b/tests/relay/test_grouping.py
@@ -7,7 +7,7 @@
 
 from tests.relay.conftest import HERE, ROUTE, THERE, target
 from trackwheel.relay.board import Board
-from trackwheel.relay.const import PEER_AVOID_S, PEERS_IN_TURN
+from trackwheel.relay.const import PEER_AVOID_S, PEERS_IN_ROTATION
 from trackwheel.relay.gather_models import GatherPlan
 from trackwheel.relay.gatherers import choose_gatherers
 from trackwheel.relay.grouping import GroupPlanner, group_far_shards
@@ -101,7 +101,7 @@
         planner = GroupPlanner(HERE, f"own:{own}", board_of(FAR_ONLY), PeerTracker())
         planner.set_peers(peers, True)
         found = {planner.first_groups(("a", "b"), ROUTE, 0.2, 0.0)[0].address for _ in range(20)}
-        assert len(found) <= PEERS_IN_TURN
+        assert len(found) <= PEERS_IN_ROTATION
         assert found <= set(planner.links_wanted())
         picked.update(found)
     assert len(picked) == len(peers)
@@ -240,7 +240,7 @@
         planner.set_peers(tuple(peers), gathers)
         links = planner.links_wanted()
         domains = Counter(address.split(":")[0] for address in links)
-        assert set(domains.values()) == {PEERS_IN_TURN}
+        assert set(domains.values()) == {PEERS_IN_ROTATION}
         assert domains.keys() >= {"here-b"}
         assert ("here-a" in domains) is not gathers
         others = domains.keys() - {"here-a", "here-b"}
--- a/tests/relay/test_lives.py
+++ b/tests/relay/test_lives.py
@@ -1,8 +1,8 @@
-"""A target that starts again under its name holds and knows nothing of before.
+"""Restarted targets: what was learned of one incarnation does not affect the next one.
 
-The load: targets crash and come back within seconds under the names that they had. What was
-believed of the earlier life would keep a new one out of use for up to half a minute (`GONE_S`), or
-take it for slow for seconds.
+Targets crash and return within seconds under the same name. Failures recorded for the earlier
+incarnation would otherwise eject the new one for up to half a minute (`REPLACED_EJECT_S`), or let
+it count as slow for seconds.
 """
 
 import itertools
--- a/trackwheel/relay/allowance_sharers.py
+++ b/trackwheel/relay/allowance_sharers.py
@@ -3,7 +3,7 @@
 from collections import deque
 from collections.abc import Mapping
 
-from trackwheel.relay.const import MEMBERS_MEMORY_S
+from trackwheel.relay.const import MEMBER_COUNT_WINDOW_S
 
 
 class SlidingMaximum:
@@ -40,7 +40,7 @@
         self._born = born
         self._window_s = window_s
         self._gathers_since: float | None = None
-        self._members = SlidingMaximum(MEMBERS_MEMORY_S)
+        self._members = SlidingMaximum(MEMBER_COUNT_WINDOW_S)
         self._gatherers_by_domain: dict[str, SlidingMaximum] = {}
         self._own_domain = ""
 
@@ -53,7 +53,7 @@
     ) -> None:
         """Take how many boxes of each failure domain ask targets for others, and if this does."""
         for domain, gatherers in gatherers_by_domain.items():
-            self._gatherers_by_domain.setdefault(domain, SlidingMaximum(MEMBERS_MEMORY_S)).add(
+            self._gatherers_by_domain.setdefault(domain, SlidingMaximum(MEMBER_COUNT_WINDOW_S)).add(
                 gatherers, now
             )
         self._own_domain = own_domain
--- a/trackwheel/relay/attempts.py
+++ b/trackwheel/relay/attempts.py
@@ -6,10 +6,10 @@
 from trackwheel.relay.board import Board, Choice
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.const import (
-    HEDGE_EARLIEST_PACES,
-    HEDGE_RESERVE_PACES,
+    HEDGE_MIN_RESPONSE_TIMES,
+    HEDGE_RESERVE_RESPONSE_TIMES,
     MAX_SENDS,
-    REFUSED_REST_PACES,
+    REFUSAL_BACKOFF_RESPONSE_TIMES,
 )
 from trackwheel.relay.models import (
     NOTHING_RAN,
@@ -158,7 +158,7 @@
         if choices[0].target.instance not in self._tried or self._refusals < len(choices):
             return False
         doublings = self._refusals - len(choices)
-        rest_s = choices[0].usual_s * REFUSED_REST_PACES * 2.0**doublings
+        rest_s = choices[0].usual_s * REFUSAL_BACKOFF_RESPONSE_TIMES * 2.0**doublings
         return now < self._refused_at + rest_s
 
     def begin(self, token: int, target: Target) -> None:
@@ -210,6 +210,6 @@
     """Return when a second target is asked: late enough to be rare, early enough to help."""
     if len(choices) < 2:
         return NEVER
-    earliest = now + HEDGE_EARLIEST_PACES * choices[0].usual_s
-    latest = answer_at - HEDGE_RESERVE_PACES * choices[1].expected_s
+    earliest = now + HEDGE_MIN_RESPONSE_TIMES * choices[0].usual_s
+    latest = answer_at - HEDGE_RESERVE_RESPONSE_TIMES * choices[1].expected_s
     return max(earliest, latest)
--- a/trackwheel/relay/board.py
+++ b/trackwheel/relay/board.py
@@ -9,9 +9,9 @@
 from trackwheel.relay.cold import ColdTargetLimiter
 from trackwheel.relay.const import (
     COLD_FACTOR,
+    COST_JITTER,
     FAILURE_COST_AIMS,
     FAR_COST_AIMS,
-    JITTER,
     OTHER_DOMAIN_COST_AIMS,
 )
 from trackwheel.relay.models import Life, Load, Outcome, Place, RouteKey, Target
@@ -296,7 +296,7 @@
         elif target.place != self._place:
             place_cost = OTHER_DOMAIN_COST_AIMS
         cost_s = expected_s + (failure_cost + place_cost) * route.aim_s
-        cost_s *= 1.0 + self._random.random() * JITTER
+        cost_s *= 1.0 + self._random.random() * COST_JITTER
         last_resort = target.doubtful or record.is_out(now)
         usual_s = self._usual(target, route)
         return Choice(target, usual_s, expected_s, cost_s, last_resort, record.rests_until)
--- a/trackwheel/relay/budget.py
+++ b/trackwheel/relay/budget.py
@@ -11,10 +11,10 @@
 from trackwheel.relay.allowance_sharers import AllowanceSharers
 from trackwheel.relay.const import (
     BUDGET_BUCKETS,
-    BUDGET_SAFETY,
-    BUDGET_SHARE_OF_ALL,
-    BUDGET_SHARE_OF_EXTRA,
-    RESERVE_FOR_NEEDED,
+    BUDGET_EXTRA_SHARE,
+    BUDGET_FLEET_SHARE,
+    BUDGET_RATIO_SHARE,
+    BUDGET_RESERVE_SHARE,
 )
 
 
@@ -95,9 +95,9 @@
         # wherever it begins, then holds more than the rule says.
         firsts = self._count(self._firsts_by_service, service).total(now, BUDGET_BUCKETS - 1)
         repeats = self._count(self._repeats_by_service, service).total(now, BUDGET_BUCKETS + 1)
-        allowed = firsts * self._limits.ratio * BUDGET_SAFETY + self._extra(service, now)
+        allowed = firsts * self._limits.ratio * BUDGET_RATIO_SHARE + self._extra(service, now)
         if not needed:
-            allowed *= 1.0 - RESERVE_FOR_NEEDED
+            allowed *= 1.0 - BUDGET_RESERVE_SHARE
         if repeats + 1 > allowed:
             self.denied += 1
             return False
@@ -109,14 +109,14 @@
         members = self.sharers.in_fleet(now)
         if not members:
             return 0.0
-        allowance = self._limits.extra * BUDGET_SHARE_OF_EXTRA
+        allowance = self._limits.extra * BUDGET_EXTRA_SHARE
         domains = self._domains_by_shard.get(service)
         if domains is None:
             return allowance / members
-        extra = allowance * BUDGET_SHARE_OF_ALL / members
+        extra = allowance * BUDGET_FLEET_SHARE / members
         gatherers = self.sharers.in_domains(domains, now)
         if gatherers:
-            extra += allowance * (1.0 - BUDGET_SHARE_OF_ALL) / gatherers
+            extra += allowance * (1.0 - BUDGET_FLEET_SHARE) / gatherers
         return extra
 
     def _count(
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -18,7 +18,7 @@
 from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.closings import Closings
-from trackwheel.relay.const import DECLINE_PACES, LOGGED_SHARDS
+from trackwheel.relay.const import DECLINE_RESPONSE_TIMES, MAX_LOGGED_SHARDS
 from trackwheel.relay.gather_models import (
     CancelGroup,
     Declined,
@@ -112,7 +112,7 @@
         Where all are slow, as under too much load, shards stay: others would send theirs here.
         """
         for choice in self._board.rank(name, self.plan.route, now, only_beside=True):
-            if not choice.last_resort and choice.cost_s < DECLINE_PACES * choice.usual_s:
+            if not choice.last_resort and choice.cost_s < DECLINE_RESPONSE_TIMES * choice.usual_s:
                 return False
         choices = self._board.rank(name, self.plan.route, now)
         return bool(choices) and not self._board.is_beside(choices[0].target)
@@ -362,7 +362,7 @@
 
     def _lacking(self) -> str:
         """Return which shards are not in and why, for the log."""
-        return self._shards.lacking(LOGGED_SHARDS, self._groups.address)
+        return self._shards.lacking(MAX_LOGGED_SHARDS, self._groups.address)
 
     def _end(self) -> None:
         self.ended = True
--- a/trackwheel/relay/gatherers.py
+++ b/trackwheel/relay/gatherers.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 from trackwheel.fleet.members import ring_position
-from trackwheel.relay.const import BOXES_PER_GATHERER, LEAST_GATHERERS, SMALL_DOMAIN
+from trackwheel.relay.const import BOXES_PER_GATHERER, MIN_GATHERERS, SMALL_DOMAIN_BOXES
 from trackwheel.relay.peers import PeerBox
 
 
@@ -24,13 +24,13 @@
 
 def _of_domain(boxes: list[PeerBox]) -> list[PeerBox]:
     """Return the fastest boxes that have the needed part of the domain's speed together."""
-    if len(boxes) <= SMALL_DOMAIN:
+    if len(boxes) <= SMALL_DOMAIN_BOXES:
         return boxes
     ranked = sorted(boxes, key=lambda box: (-box.speed, ring_position(box.address)))
     needed = sum(box.speed for box in boxes) / BOXES_PER_GATHERER
     chosen: list[PeerBox] = []
     for box in ranked:
-        if len(chosen) >= LEAST_GATHERERS and sum(b.speed for b in chosen) >= needed:
+        if len(chosen) >= MIN_GATHERERS and sum(b.speed for b in chosen) >= needed:
             break
         chosen.append(box)
     return chosen
--- a/trackwheel/relay/grouping.py
+++ b/trackwheel/relay/grouping.py
@@ -8,11 +8,11 @@
 from trackwheel.relay.board import Board
 from trackwheel.relay.const import (
     ACCEPT_SLACK_S,
-    HEDGE_EARLIEST_PACES,
-    HEDGE_RESERVE_PACES,
-    LEAST_GROUP,
-    LEAST_GROUP_ELSEWHERE,
-    PEERS_IN_TURN,
+    HEDGE_MIN_RESPONSE_TIMES,
+    HEDGE_RESERVE_RESPONSE_TIMES,
+    MIN_GROUP_SHARDS,
+    MIN_REGROUP_SHARDS,
+    PEERS_IN_ROTATION,
 )
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan
 from trackwheel.relay.models import Place, RouteKey
@@ -93,7 +93,7 @@
                 for place in peers_by_place
             }
             for peer, held in _fewest(
-                held_by_place, left, peers_by_place, self._peer_tracker, now, LEAST_GROUP_ELSEWHERE
+                held_by_place, left, peers_by_place, self._peer_tracker, now, MIN_REGROUP_SHARDS
             ):
                 groups.append(ShardGroup(peer, tuple(sorted(held))))
                 left -= held
@@ -122,7 +122,7 @@
             if peer.place.region in regions and not (self._gathers and peer.place == self._own)
         ]
         return [
-            peer.address for peers in _by_place(near).values() for peer in peers[:PEERS_IN_TURN]
+            peer.address for peers in _by_place(near).values() for peer in peers[:PEERS_IN_ROTATION]
         ]
 
     def _preferred_region(self) -> str:
@@ -161,9 +161,9 @@
 
     def _report_by(self, route: RouteKey, address: str, answer_at: float, now: float) -> float:
         """Return when a peer reports what is in: other targets can then still be asked."""
-        latest = answer_at - HEDGE_RESERVE_PACES * self._board.usual_s(route, far=True)
+        latest = answer_at - HEDGE_RESERVE_RESPONSE_TIMES * self._board.usual_s(route, far=True)
         usual_s = self._peer_tracker.round_trip_s(address)
-        usual_s += HEDGE_EARLIEST_PACES * self._board.usual_s(route, far=False)
+        usual_s += HEDGE_MIN_RESPONSE_TIMES * self._board.usual_s(route, far=False)
         return max(latest, now + usual_s)
 
 
@@ -192,7 +192,7 @@
             if _distance(place, own) == distance
         }
         for chosen, held in _fewest(
-            held_by_place, left, peers_by_place, peer_tracker, now, LEAST_GROUP
+            held_by_place, left, peers_by_place, peer_tracker, now, MIN_GROUP_SHARDS
         ):
             groups.append(ShardGroup(chosen, tuple(shard for shard in shards if shard in held)))
             left -= held
--- a/trackwheel/relay/outbound_groups.py
+++ b/trackwheel/relay/outbound_groups.py
@@ -6,7 +6,7 @@
 from trackwheel.clock import steady_now
 from trackwheel.peers.hub import Hub
 from trackwheel.peers.models import PeerIdentity
-from trackwheel.relay.const import LOGGED_SHARDS, REPORT_MARGIN_S
+from trackwheel.relay.const import MAX_LOGGED_SHARDS, REPORT_MARGIN_S
 from trackwheel.relay.gather_models import (
     CancelGroup,
     PeerSilent,
@@ -185,7 +185,7 @@
             "peer_message_rejected",
             peer=sender.box_id,
             message=type(message).__name__,
-            shards=str(message.shards[:LOGGED_SHARDS]),
+            shards=str(message.shards[:MAX_LOGGED_SHARDS]),
         )
 
     def _link_lost(self, address: str) -> None:
--- a/trackwheel/relay/peers.py
+++ b/trackwheel/relay/peers.py
@@ -6,9 +6,9 @@
 from typing import Final, NamedTuple
 
 from trackwheel.relay.const import (
-    FIRST_ROUND_TRIP_S,
+    INITIAL_ROUND_TRIP_S,
     PEER_AVOID_S,
-    PEERS_IN_TURN,
+    PEERS_IN_ROTATION,
     ROUND_TRIP_WEIGHT,
 )
 from trackwheel.relay.models import Place
@@ -108,7 +108,7 @@
 
     def round_trip_s(self, address: str) -> float:
         """Return the usual time to a peer and back (seconds)."""
-        return self._round_trip_by_address.get(address, FIRST_ROUND_TRIP_S)
+        return self._round_trip_by_address.get(address, INITIAL_ROUND_TRIP_S)
 
     def record_accepted(self, address: str, took_s: float) -> None:
         """Take how long a peer took to accept."""
@@ -129,7 +129,7 @@
         """
         usable = [
             peer for peer in peers if self._avoid_until_by_address.get(peer.address, 0.0) <= now
-        ][:PEERS_IN_TURN]
+        ][:PEERS_IN_ROTATION]
         if not usable:
             return None
         self._turn += 1
--- a/trackwheel/relay/record.py
+++ b/trackwheel/relay/record.py
@@ -4,18 +4,18 @@
 from typing import NamedTuple
 
 from trackwheel.relay.const import (
+    CONNECT_BACKOFF_S,
     DISCONNECT_EJECT_S,
-    DOWN_REST_S,
-    EJECT_AFTER,
+    EJECT_AFTER_FAILURES,
     EJECT_S,
     FAILURE_HALF_LIFE_S,
     FAILURE_WEIGHT,
     FASTER_WEIGHT,
-    GONE_S,
-    LONGEST_DOWN_REST_S,
-    LONGEST_EJECT_S,
-    MOST_SLOWNESS,
-    REPORT_LIFETIME_S,
+    LOAD_REPORT_LIFETIME_S,
+    MAX_CONNECT_BACKOFF_S,
+    MAX_EJECT_S,
+    MAX_SLOWNESS,
+    REPLACED_EJECT_S,
     SLOWER_WEIGHT,
     SLOWNESS_HALF_LIFE_S,
     STALL_FACTOR,
@@ -66,7 +66,7 @@
 
     def load(self, now: float) -> Load | None:
         """Return what the target said of its load a moment ago; None when that is too old."""
-        return self._load if now - self._load_at < REPORT_LIFETIME_S else None
+        return self._load if now - self._load_at < LOAD_REPORT_LIFETIME_S else None
 
     def stalled_s(self, now: float) -> float:
         """Return the age of the oldest answer that is awaited, if that is overdue."""
@@ -85,7 +85,7 @@
     def took(self, ratio: float, now: float) -> None:
         """Take how many times longer than usual an answer took."""
         before = self.slowness(now)
-        ratio = min(MOST_SLOWNESS, ratio)
+        ratio = min(MAX_SLOWNESS, ratio)
         weight = SLOWER_WEIGHT if ratio > before else FASTER_WEIGHT
         self._slowness = before + (ratio - before) * weight
         self._slowness_at = now
@@ -114,12 +114,12 @@
         """Take the target out of use for as long as its failure suggests."""
         self._failures_in_a_row += 1
         if outcome is Outcome.ELSEWHERE:
-            self.ejected_until = self.gone_until = now + GONE_S
+            self.ejected_until = self.gone_until = now + REPLACED_EJECT_S
         elif outcome is Outcome.NOT_SENT:
             self.ejected_until = now + DISCONNECT_EJECT_S
-            rest_s = DOWN_REST_S * 2.0**self._refused_in_a_row
-            self.rests_until = now + min(LONGEST_DOWN_REST_S, rest_s)
+            rest_s = CONNECT_BACKOFF_S * 2.0**self._refused_in_a_row
+            self.rests_until = now + min(MAX_CONNECT_BACKOFF_S, rest_s)
             self._refused_in_a_row += 1
-        elif self._failures_in_a_row >= EJECT_AFTER:
-            doublings = self._failures_in_a_row - EJECT_AFTER
-            self.ejected_until = now + min(LONGEST_EJECT_S, EJECT_S * 2**doublings)
+        elif self._failures_in_a_row >= EJECT_AFTER_FAILURES:
+            doublings = self._failures_in_a_row - EJECT_AFTER_FAILURES
+            self.ejected_until = now + min(MAX_EJECT_S, EJECT_S * 2**doublings)
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -11,11 +11,11 @@
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.const import (
     FINAL_MARGIN_S,
-    LINKS_REST_S,
+    LINK_OPEN_DELAY_S,
     NEW_CONNECTION_MARGIN_S,
     NO_ROUTES_RETRY_AFTER_S,
+    RESPONSE_MARGIN_S,
     RETRY_AFTER_S,
-    RETURN_MARGIN_S,
 )
 from trackwheel.relay.gather import ENDS_TARGETS, Gather
 from trackwheel.relay.gather_models import Gathered, GatherFailed, GatherPlan
@@ -75,7 +75,7 @@
     def set_peers(self, peers: tuple[PeerBox, ...], gathers: bool) -> None:
         """Take the boxes to which shards may be handed, and whether this box asks targets."""
         self._planner.set_peers(peers, gathers)
-        self._links_timer.set(steady_now() + LINKS_REST_S)
+        self._links_timer.set(steady_now() + LINK_OPEN_DELAY_S)
 
     def _open_links(self) -> None:
         self._groups.open_links(self._planner.links_wanted())
@@ -299,7 +299,7 @@
 
 def _answer_at(caller: CallerRequest, route: Route) -> float:
     """Return the last moment to answer within the aim (monotonic seconds)."""
-    margin_s = RETURN_MARGIN_S
+    margin_s = RESPONSE_MARGIN_S
     if caller.http.opening:
         margin_s += NEW_CONNECTION_MARGIN_S
     return caller.http.arrived + route.aim_s - margin_s
--- a/trackwheel/relay/shard_requester.py
+++ b/trackwheel/relay/shard_requester.py
@@ -5,7 +5,7 @@
 from trackwheel.relay.attempts import Refusal, hedge_time
 from trackwheel.relay.board import Board, Lack
 from trackwheel.relay.budget import RetryBudget
-from trackwheel.relay.const import LATE_RETRY_PACES, RETRY_PACES
+from trackwheel.relay.const import LATE_RETRY_DELAY_RESPONSE_TIMES, RETRY_DELAY_RESPONSE_TIMES
 from trackwheel.relay.gather_models import CancelPart, GatherPlan, SendPart
 from trackwheel.relay.handed import HandedGroups
 from trackwheel.relay.shards import Shard, ShardBook
@@ -52,7 +52,7 @@
 
     def _retry_at(self, soon: bool, now: float) -> float:
         """Return when a shard that may not be asked for now is looked at again."""
-        paces = RETRY_PACES if soon else LATE_RETRY_PACES
+        paces = RETRY_DELAY_RESPONSE_TIMES if soon else LATE_RETRY_DELAY_RESPONSE_TIMES
         return now + paces * self._board.usual_s(self._plan.route, far=False)
 
     def pop_ended(self, token: int) -> str | None:
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -16,7 +16,7 @@
 """Connections to a target of a service that the configuration does not name."""
 CONNECTION_SHARE = 0.9
 """Part of a target's connections that the boxes use together; the rest is for health checks."""
-LEAST_CONNECTIONS = 2
+MIN_CONNECTIONS = 2
 """Connections that a box may have to a target in any case."""
 
 _OUTCOME_BY_KIND: Final = {
@@ -180,5 +180,5 @@
             host, port = split_address(target.address)
             pool = self._pool_by_life[target.life] = TargetPool(host, port, 0)
         allowed = self._limit_by_service.get(target.service, DEFAULT_CONNECTIONS * self._members)
-        pool.limit = max(LEAST_CONNECTIONS, int(allowed * CONNECTION_SHARE / self._members))
+        pool.limit = max(MIN_CONNECTIONS, int(allowed * CONNECTION_SHARE / self._members))
         return pool
