--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1322,7 +1322,7 @@
         HELD,
         "a query, a look-up, one that may run only once, sent again at each box",
         CRASHING + "test_request_under_which_three_targets_ended_goes_to_no_more",
-        Mutant("trackwheel/relay/service.py", "if waits_s <= 0.0:", "if True:"),
+        Mutant("trackwheel/relay/service.py", "if retry_after_s <= 0.0:", "if True:"),
     ),
     Row(
         PLATFORM,
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -217,8 +217,8 @@
     def _take_targets(self, targets_by_service: dict[str, tuple[Target, ...]]) -> None:
         self.board.set_targets(targets_by_service, steady_now())
         targets = tuple(chain.from_iterable(targets_by_service.values()))
-        self.transport.keep_only({target.life for target in targets})
-        self.transport.bar({target.life for target in targets if target.barred})
+        self.transport.close_unknown({target.life for target in targets})
+        self.transport.refuse_waiting({target.life for target in targets if target.barred})
         self._set_shards()
 
     def _set_shards(self) -> None:
--- a/trackwheel/relay/down_report_exchange.py
+++ b/trackwheel/relay/down_report_exchange.py
@@ -8,7 +8,7 @@
 from trackwheel.relay.const import DOWN_REPORT_MAX_BOXES
 from trackwheel.relay.down_reports import DownReports, TargetDown
 from trackwheel.relay.models import Outcome
-from trackwheel.relay.transport import Sending, TargetTransport
+from trackwheel.relay.transport import TargetAttempt, TargetTransport
 from trackwheel.telemetry.events import EventLog
 
 
@@ -23,14 +23,14 @@
         self._log = log
         self._boxes: tuple[str, ...] = ()
         hub.register(TargetDown, self._receive)
-        transport.on_any_end(self._request_ended)
+        transport.on_attempt_end(self._request_ended)
 
     def set_boxes(self, addresses: Iterable[str]) -> None:
         """Take the other boxes of the failure domain that ask targets."""
         self._boxes = tuple(sorted(addresses))[:DOWN_REPORT_MAX_BOXES]
 
-    def _request_ended(self, sending: Sending, outcome: Outcome, sent_at: float) -> None:
-        report = self._reports.request_ended(sending.target, outcome, sent_at, steady_now())
+    def _request_ended(self, attempt: TargetAttempt, outcome: Outcome, sent_at: float) -> None:
+        report = self._reports.request_ended(attempt.target, outcome, sent_at, steady_now())
         if report is None:
             return
         for address in self._boxes:
--- a/trackwheel/relay/runs.py
+++ b/trackwheel/relay/runs.py
@@ -27,7 +27,7 @@
     SingleFailed,
 )
 from trackwheel.relay.timer import Timer
-from trackwheel.relay.transport import Sending, TargetTransport
+from trackwheel.relay.transport import TargetAttempt, TargetTransport
 
 
 class GatherTask(NamedTuple):
@@ -74,8 +74,8 @@
     ) -> None:
         """Send the request to a target; its end is told unless it is withdrawn."""
         token = self._token_by_number[number] = object()
-        sending = Sending(token, self._request, target, self._route, reason, single, once)
-        self._transport.send(sending, lambda end: self._ended(number, end))
+        attempt = TargetAttempt(token, self._request, target, self._route, reason, single, once)
+        self._transport.send(attempt, lambda end: self._ended(number, end))
 
     def withdraw(self, number: int, target: Target) -> None:
         """Take a request back."""
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -101,14 +101,14 @@
         if not route.shards:
             self._serve_single(caller, route, table.version, exchange, one_target)
         elif one_target:
-            self._serve_if_one_answers(caller, route, table.version, exchange)
+            self._serve_after_trial(caller, route, table.version, exchange)
         else:
             self._serve_query(caller, route, table.version, exchange)
 
     def _refuse_held(self, caller: CallerRequest, route: Route, exchange: Exchange) -> bool:
         """Refuse a request at once that is kept from targets; return whether it is."""
-        waits_s = self._quarantine.waits_s(caller.fingerprint)
-        if waits_s <= 0.0:
+        retry_after_s = self._quarantine.waits_s(caller.fingerprint)
+        if retry_after_s <= 0.0:
             return False
         self.ended_by_kind[("held",)] += 1
         self._log.write(
@@ -116,9 +116,9 @@
             id=caller.request_id,
             route=route.name,
             fingerprint=caller.fingerprint.hex(),
-            left_s=round(waits_s, 1),
+            left_s=round(retry_after_s, 1),
         )
-        answer = self._wire.refusal(HTTPStatus.SERVICE_UNAVAILABLE, waits_s, ENDS_TARGETS)
+        answer = self._wire.refusal(HTTPStatus.SERVICE_UNAVAILABLE, retry_after_s, ENDS_TARGETS)
         exchange.respond(answer)
         return True
 
@@ -165,10 +165,10 @@
 
         single = Single(plan, self._board, self._budget)
         run = SingleRun(caller, single, self._transport, done)
-        exchange.on_gone = lambda: self._leave(caller, route.name, run)
+        exchange.on_gone = lambda: self._client_left(caller, route.name, run)
         run.start()
 
-    def _serve_if_one_answers(
+    def _serve_after_trial(
         self, caller: CallerRequest, route: Route, version: int, exchange: Exchange
     ) -> None:
         """Send a query that may end targets to one of them, and serve it once that has answered."""
@@ -185,7 +185,7 @@
 
         single = Single(self._plan_single(caller, route, True), self._board, self._budget)
         run = SingleRun(caller, single, self._transport, done)
-        exchange.on_gone = lambda: self._leave(caller, route.name, run)
+        exchange.on_gone = lambda: self._client_left(caller, route.name, run)
         run.start()
 
     def _serve_query(
@@ -209,10 +209,10 @@
 
         task = GatherTask(caller, gather)
         run = GatherRun(task, self._transport, self._groups, done)
-        exchange.on_gone = lambda: self._leave(caller, route.name, run)
+        exchange.on_gone = lambda: self._client_left(caller, route.name, run)
         run.start()
 
-    def _leave(self, caller: CallerRequest, route: str, run: GatherRun | SingleRun) -> None:
+    def _client_left(self, caller: CallerRequest, route: str, run: GatherRun | SingleRun) -> None:
         """Take that a client left before its answer."""
         run.cancel()
         self.ended_by_kind[("client_left",)] += 1
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -28,7 +28,7 @@
 
 OnTargetEnd = Callable[[TargetEnd], None]
 
-OnTakenBack = Callable[[bytes, Target], None]
+OnWithdrawn = Callable[[bytes, Target], None]
 """Take the fingerprint of a request that was taken back from a target."""
 
 
@@ -39,7 +39,7 @@
         """Return monotonic seconds."""
 
 
-class Sending(NamedTuple):
+class TargetAttempt(NamedTuple):
     """One request for one target."""
 
     token: object
@@ -51,7 +51,7 @@
     once: bool
 
 
-OnAnyEnd = Callable[[Sending, Outcome, float], None]
+OnAttemptEnd = Callable[[TargetAttempt, Outcome, float], None]
 """Take how a request to a target ended that was sent at a time (monotonic seconds)."""
 
 
@@ -68,23 +68,23 @@
         self._members = 1
         self.sent_by_reason: Counter[tuple[str, str]] = Counter()
         self.ended_by_outcome: Counter[tuple[str]] = Counter()
-        self._on_any_end: list[OnAnyEnd] = []
-        self._on_taken_back: list[OnTakenBack] = []
+        self._on_attempt_end: list[OnAttemptEnd] = []
+        self._on_withdrawn: list[OnWithdrawn] = []
 
-    def on_any_end(self, handler: OnAnyEnd) -> None:
+    def on_attempt_end(self, handler: OnAttemptEnd) -> None:
         """Call a handler with how each request ended that was not withdrawn."""
-        self._on_any_end.append(handler)
+        self._on_attempt_end.append(handler)
 
-    def on_taken_back(self, handler: OnTakenBack) -> None:
+    def on_withdrawn(self, handler: OnWithdrawn) -> None:
         """Call a handler with each request that was sent and taken back before its answer."""
-        self._on_taken_back.append(handler)
+        self._on_withdrawn.append(handler)
 
     def set_limits(self, connections_by_service: dict[str, int], members: int) -> None:
         """Take how many connections the targets of each service take from all boxes."""
         self._limit_by_service = connections_by_service
         self._members = max(1, members)
 
-    def keep_only(self, lives: set[Life]) -> None:
+    def close_unknown(self, lives: set[Life]) -> None:
         """Close the idle connections of targets that are gone."""
         for life in [known for known in self._pool_by_life if known not in lives]:
             pool = self._pool_by_life[life]
@@ -92,18 +92,18 @@
             if pool.unused:
                 del self._pool_by_life[life]
 
-    def bar(self, lives: set[Life]) -> None:
+    def refuse_waiting(self, lives: set[Life]) -> None:
         """Send nothing more that waits for a connection to targets that get no new work."""
         for life in lives & self._pool_by_life.keys():
             self._pool_by_life[life].refuse_waiting()
 
-    def send(self, sending: Sending, on_end: OnTargetEnd) -> None:
+    def send(self, attempt: TargetAttempt, on_end: OnTargetEnd) -> None:
         """Send a request; `on_end` is called once unless it is withdrawn."""
-        target, request = sending.target, sending.request
+        target, request = attempt.target, attempt.request
         sent_at = self._clock()
-        self._board.sent(target, sending.token, sending.route, sent_at)
+        self._board.sent(target, attempt.token, attempt.route, sent_at)
         distance = "far" if self._board.is_far(target) else "near"
-        self.sent_by_reason[sending.reason, distance] += 1
+        self.sent_by_reason[attempt.reason, distance] += 1
 
         def build() -> Request:
             return self._wire.target_request(request, target.instance, self._clock())
@@ -112,18 +112,18 @@
             return self._wire.check_answer(request.request_id, answer)
 
         def ended(end: ExchangeEnd) -> None:
-            result = self._read(end, sending.single)
+            result = self._to_target_end(end, attempt.single)
             self.ended_by_outcome[(result.outcome.value,)] += 1
             belief = self._board.ended(
-                target, sending.token, result.outcome, result.load, self._clock(), result.cold_s
+                target, attempt.token, result.outcome, result.load, self._clock(), result.cold_s
             )
-            self._write(sending, result, belief, sent_at)
-            for handler in self._on_any_end:
-                handler(sending, result.outcome, sent_at)
+            self._log_end(attempt, result, belief, sent_at)
+            for handler in self._on_attempt_end:
+                handler(attempt, result.outcome, sent_at)
             on_end(result)
 
         self._pool(target).submit(
-            Job(sending.token, request.request_id, build, check, sending.once, ended)
+            Job(attempt.token, request.request_id, build, check, attempt.once, ended)
         )
 
     def withdraw(self, token: object, target: Target, fingerprint: bytes) -> None:
@@ -131,30 +131,30 @@
         self._board.withdrawn(target, token, self._clock())
         pool = self._pool_by_life.get(target.life)
         if pool is not None and pool.cancel(token):
-            for handler in self._on_taken_back:
+            for handler in self._on_withdrawn:
                 handler(fingerprint, target)
 
-    def _write(
-        self, sending: Sending, end: TargetEnd, belief: TargetBelief | None, sent_at: float
+    def _log_end(
+        self, attempt: TargetAttempt, end: TargetEnd, belief: TargetBelief | None, sent_at: float
     ) -> None:
         """Write what failed at a target, and what is believed of the target from now on."""
-        target = sending.target
+        target = attempt.target
         if end.outcome is not Outcome.OK:
             self._log.write(
                 "target_failed",
-                id=sending.request.request_id,
+                id=attempt.request.request_id,
                 target=target.instance,
                 service=target.service,
                 outcome=end.outcome.value,
                 detail=end.detail,
-                why_sent=sending.reason,
+                why_sent=attempt.reason,
             )
         if end.outcome is Outcome.CLOSED:
             # A kind of its own: refused connections in their hundreds would use up its lines.
             self._log.write(
                 "target_closed",
-                id=sending.request.request_id,
-                fingerprint=sending.request.fingerprint.hex(),
+                id=attempt.request.request_id,
+                fingerprint=attempt.request.fingerprint.hex(),
                 target=target.instance,
                 service=target.service,
                 ran_ms=round((self._clock() - sent_at) * MILLISECONDS, 1),
@@ -169,7 +169,7 @@
                 after=end.outcome.value,
             )
 
-    def _read(self, end: ExchangeEnd, single: bool) -> TargetEnd:
+    def _to_target_end(self, end: ExchangeEnd, single: bool) -> TargetEnd:
         if end.answer is not None:
             return self._wire.read_end(end.answer, single)
         return TargetEnd(_OUTCOME_BY_KIND[end.kind], None, b"", None, end.detail)
