--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -11,7 +11,6 @@
 
 from bench.agenda import Action, Agenda, Processor
 from bench.policy_targets import QUIET, Habits, ModelTarget
-from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 from trackwheel.relay.down_reports import DownReports, TargetDown
 from trackwheel.relay.gather import Gather
@@ -30,6 +29,7 @@
 from trackwheel.relay.grouping import GroupPlanner
 from trackwheel.relay.models import Load, Outcome, Part, Place, RouteKey, Target, TargetEnd
 from trackwheel.relay.peers import PeerBox, PeerTracker
+from trackwheel.relay.target_selector import TargetSelector
 
 SEND_S: Final = 0.0004
 """Processor time of one request to a target and its answer, for one core."""
@@ -93,7 +93,7 @@
         self.peer = peer
         self.place = peer.place
         self.processor = Processor(fleet.agenda, peer.speed)
-        self.board = Board(peer.place, seed)
+        self.board = TargetSelector(peer.place, seed)
         self.budget = RetryBudget(RetryBudgetLimits(0.2, 10.0, fleet.extra), -100.0)
         self.links: set[str] = set()
         self.peer_tracker = PeerTracker(self.links.__contains__)
--- a/bench/policy_shifted.py
+++ b/bench/policy_shifted.py
@@ -18,9 +18,9 @@
 from bench.report import Report, Series
 from trackwheel.relay import attempts, shard_requester
 from trackwheel.relay.attempts import NEVER
-from trackwheel.relay.board import Choice
 from trackwheel.relay.models import Place, Target
 from trackwheel.relay.peers import PeerBox
+from trackwheel.relay.target_selector import Candidate
 
 REGIONS: Final = ("r1", "r2", "r3")
 PLACES: Final = tuple(Place(region, f"{region}-{name}") for name in "ab" for region in REGIONS)
@@ -55,14 +55,14 @@
 )
 
 
-def _hedge_early(choices: list[Choice], answer_at: float, now: float) -> float:
+def _hedge_early(choices: list[Candidate], answer_at: float, now: float) -> float:
     """Ask a second target after twice what is expected, whatever time is left."""
     if len(choices) < 2:
         return NEVER
     return now + 2.0 * choices[0].expected_s
 
 
-def _hedge_in_the_middle(choices: list[Choice], answer_at: float, now: float) -> float:
+def _hedge_in_the_middle(choices: list[Candidate], answer_at: float, now: float) -> float:
     """Ask it half-way between that moment and the latest one that still helps."""
     if len(choices) < 2:
         return NEVER
@@ -70,7 +70,7 @@
     return (early + max(early, attempts.hedge_time(choices, answer_at, now))) / 2.0
 
 
-HedgeTime = Callable[[list[Choice], float, float], float]
+HedgeTime = Callable[[list[Candidate], float, float], float]
 
 
 class Variant(NamedTuple):
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -53,7 +53,7 @@
 PARTS_IN = "tests/relay/test_parts.py::"
 SINGLE = "tests/relay/test_single.py::"
 REPEATS = "tests/relay/test_budget.py::"
-CHOICE = "tests/relay/test_board.py::"
+CHOICE = "tests/relay/test_target_selector.py::"
 HTTP_TARGET = "tests/http1/test_client.py::"
 HTTP_CLIENT = "tests/http1/test_server.py::"
 DIRECTORY = "tests/directory/test_targets.py::"
@@ -957,7 +957,7 @@
         "a target dies; false, old and repeated news of it",
         DOWN_REPORTS + "test_news_of_others",
         Mutant(
-            "trackwheel/relay/board.py",
+            "trackwheel/relay/target_selector.py",
             "if record.answered_at >= failed_at or record.told_down_until >= until:",
             "if record.told_down_until >= until:",
         ),
@@ -1118,7 +1118,7 @@
         "targets in homes and outside, at the first choice",
         HOMES + "test_choice_is_among_the_targets_of_the_homes",
         Mutant(
-            "trackwheel/relay/board.py",
+            "trackwheel/relay/target_selector.py",
             "            if route.allows(target.place.region)\n            if self._may_ask",
             "            if self._may_ask",
         ),
@@ -1240,8 +1240,8 @@
         "an evacuation is taken back, and targets started anew in it",
         COLD + "test_targets_whose_evacuation_was_taken_back_are_thought_cold",
         Mutant(
-            "trackwheel/relay/board.py",
-            "            self._doubt_returned(chain.from_iterable(before.values()), now)\n",
+            "trackwheel/relay/target_selector.py",
+            "            self._assume_returned_cold(chain.from_iterable(before.values()), now)\n",
             "            pass\n",
         ),
     ),
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -5,16 +5,16 @@
 import pytest
 
 from trackwheel.http1.models import Response
-from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 from trackwheel.relay.models import Load, Outcome, Place, RouteKey, Target, TargetEnd
+from trackwheel.relay.target_selector import TargetSelector
 
 HERE = Place("here", "here-a")
 THERE = Place("there", "there-a")
 ROUTE = RouteKey("r", 0.2)
 OLD = -100.0
 """The birth of a box that has been there for long."""
-BoardMaker = Callable[..., Board]
+SelectorMaker = Callable[..., TargetSelector]
 
 
 def target(
@@ -35,9 +35,9 @@
 
 
 @pytest.fixture
-def board() -> Board:
+def board() -> TargetSelector:
     """Return a board with shards s0 to s9, each with a target here and one there."""
-    board = Board(HERE, seed=1)
+    board = TargetSelector(HERE, seed=1)
     board.set_targets(
         {
             f"s{number}": (target(f"s{number}-near", f"s{number}"),)
--- a/tests/relay/test_cold.py
+++ b/tests/relay/test_cold.py
@@ -11,13 +11,13 @@
 
 from tests.relay.conftest import HERE, OLD, ROUTE, THERE, target
 from trackwheel.relay.allowance_sharers import AllowanceSharers
-from trackwheel.relay.board import Board, Lack
 from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 from trackwheel.relay.cold import MAX_FLEET_VIEWS, ColdLimit, ColdLimitMargin, ColdTargetLimiter
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import GatherPlan, SendPart
 from trackwheel.relay.models import Outcome, Target
 from trackwheel.relay.single import SendSingle, Single, SingleFailed, SinglePlan
+from trackwheel.relay.target_selector import NoTargetReason, TargetSelector
 
 RULE = ColdLimitMargin(1.5, 5.0)
 SERVICE = "s"
@@ -128,8 +128,8 @@
     assert limiter.share(cold_target()._replace(place=place), 0.0) == share  # type: ignore[arg-type]
 
 
-def make_board(limiter: ColdTargetLimiter, *targets: Target) -> Board:
-    board = Board(HERE, 1, limiter)
+def make_board(limiter: ColdTargetLimiter, *targets: Target) -> TargetSelector:
+    board = TargetSelector(HERE, 1, limiter)
     board.set_targets({SERVICE: targets}, 0.0)
     return board
 
@@ -140,7 +140,7 @@
     return found
 
 
-def ask(board: Board, now: float) -> Target | None:
+def ask(board: TargetSelector, now: float) -> Target | None:
     """Send one request to the best target, as a box does, and let it answer."""
     choices = board.rank(SERVICE, ROUTE, now)
     if not choices:
@@ -192,7 +192,7 @@
 def test_request_that_no_target_bears_is_refused_at_once_and_told_when_to_come() -> None:
     board = make_board(make_limiter(2.0, boxes=60, shard=False), cold_target(until=2.5))
     single = Single(SinglePlan(ROUTE, SERVICE, True, 2, 0.19, 3.0), board, budget())
-    assert single.start(1.0) == [SingleFailed(False, False, Lack.COLD.value)]
+    assert single.start(1.0) == [SingleFailed(False, False, NoTargetReason.COLD.value)]
     assert board.warm_in_s(SERVICE, ROUTE, 1.0) == pytest.approx(1.5)
 
 
--- a/tests/relay/test_crashing_query.py
+++ b/tests/relay/test_crashing_query.py
@@ -8,12 +8,12 @@
 
 from tests.relay.conftest import ROUTE, THERE, end
 from tests.relay.test_gather import ANSWER_AT, GROUP, SHARDS, Elsewhere, Session
-from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.gather import ENDS_TARGETS
 from trackwheel.relay.gather_models import Gathered, GatherFailed
 from trackwheel.relay.models import Outcome, Passage
 from trackwheel.relay.single import Single, SingleFailed, SinglePlan
+from trackwheel.relay.target_selector import TargetSelector
 
 
 class Gate:
@@ -27,7 +27,7 @@
 
 
 def test_second_targets_are_spared_while_nothing_has_answered(
-    board: Board, budget: RetryBudget
+    board: TargetSelector, budget: RetryBudget
 ) -> None:
     session = Session(board, budget)
     for shard in SHARDS[:-1]:
@@ -40,7 +40,9 @@
     assert sorted(asked_again) == [f"{shard}-far" for shard in SHARDS[:-1]]
 
 
-def test_second_target_is_asked_once_another_shard_is_in(board: Board, budget: RetryBudget) -> None:
+def test_second_target_is_asked_once_another_shard_is_in(
+    board: TargetSelector, budget: RetryBudget
+) -> None:
     session = Session(board, budget)
     session.answer("s1")
     session.fail("s0", Outcome.CLOSED)
@@ -48,7 +50,7 @@
 
 
 def test_second_target_is_asked_when_nothing_else_is_awaited(
-    board: Board, budget: RetryBudget
+    board: TargetSelector, budget: RetryBudget
 ) -> None:
     session = Session(board, budget)
     for shard in SHARDS:
@@ -57,7 +59,7 @@
 
 
 def test_query_whose_every_target_ended_is_given_up_with_the_next_look(
-    board: Board, no_budget: RetryBudget
+    board: TargetSelector, no_budget: RetryBudget
 ) -> None:
     session = Session(board, no_budget)
     for shard in SHARDS:
@@ -70,7 +72,7 @@
 
 
 def test_peer_under_which_targets_ended_makes_the_query_wait(
-    board: Board, budget: RetryBudget
+    board: TargetSelector, budget: RetryBudget
 ) -> None:
     elsewhere = Elsewhere()
     session = Session(board, budget, groups=(GROUP,), elsewhere=elsewhere)
@@ -83,7 +85,7 @@
 
 
 @pytest.mark.parametrize("partial", [False, True], ids=["client's", "peer's"])
-def test_held_query_ends_at_once(board: Board, budget: RetryBudget, partial: bool) -> None:
+def test_held_query_ends_at_once(board: TargetSelector, budget: RetryBudget, partial: bool) -> None:
     gate = Gate()
     session = Session(board, budget, partial=partial, gate=gate)
     gate.now = Passage.SHUT
@@ -98,7 +100,9 @@
     assert len(session.sent) == len(SHARDS)
 
 
-def test_suspect_is_asked_nowhere_until_it_is_cleared(board: Board, budget: RetryBudget) -> None:
+def test_suspect_is_asked_nowhere_until_it_is_cleared(
+    board: TargetSelector, budget: RetryBudget
+) -> None:
     gate = Gate()
     elsewhere = Elsewhere()
     session = Session(board, budget, gate=gate, elsewhere=elsewhere)
@@ -119,7 +123,7 @@
     [(Passage.OPEN, 2), (Passage.ONE, 1), (Passage.WAIT, 1), (Passage.SHUT, 1)],
 )
 def test_request_to_one_target_is_not_sent_again(
-    board: Board, budget: RetryBudget, passage: Passage, sends: int
+    board: TargetSelector, budget: RetryBudget, passage: Passage, sends: int
 ) -> None:
     gate = Gate()
     single = Single(SinglePlan(ROUTE, "s0", True, 3, 0.18, 1.0, gate), board, budget)
--- a/tests/relay/test_down_reports.py
+++ b/tests/relay/test_down_reports.py
@@ -5,10 +5,10 @@
 import pytest
 
 from tests.relay.conftest import HERE, ROUTE, THERE, target
-from trackwheel.relay.board import Board
 from trackwheel.relay.const import DOWN_REPORT_DISTRUST_S, DOWN_REPORT_INTERVAL_S, REPORTED_DOWN_S
 from trackwheel.relay.down_reports import DownReports, TargetDown
 from trackwheel.relay.models import Outcome, Target
+from trackwheel.relay.target_selector import TargetSelector
 
 DOWN = target("down", "s")
 OTHER = target("other", "s", THERE)
@@ -19,7 +19,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.board = Board(HERE, seed=1)
+        self.board = TargetSelector(HERE, seed=1)
         self.board.set_targets({"s": (DOWN, OTHER)}, 0.0)
         self.reports = DownReports(self.board)
 
--- a/tests/relay/test_gather.py
+++ b/tests/relay/test_gather.py
@@ -3,7 +3,6 @@
 import pytest
 
 from tests.relay.conftest import HERE, OLD, ROUTE, THERE, end
-from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 from trackwheel.relay.const import MAX_SENDS
 from trackwheel.relay.gather import Gather
@@ -24,6 +23,7 @@
 from trackwheel.relay.grouping import GroupPlanner
 from trackwheel.relay.models import OPEN_GATE, Outcome, Part, SendGate
 from trackwheel.relay.peers import PeerBox, PeerTracker
+from trackwheel.relay.target_selector import TargetSelector
 
 SHARDS = tuple(f"s{number}" for number in range(10))
 ANSWER_AT = 0.18
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        board: Board,
+        board: TargetSelector,
         budget: RetryBudget,
         least: float = 0.8,
         groups: tuple[GroupPlan, ...] = (),
@@ -138,7 +138,7 @@
         self.take(self.gather.tick(now))
 
 
-def refuse_connection(board: Board, session: Session, shard: str, now: float) -> None:
+def refuse_connection(board: TargetSelector, session: Session, shard: str, now: float) -> None:
     """Let the request for a shard end as the shell does when its target refuses connections."""
     token = session.token(shard, "")
     target = session.open[token].target
@@ -147,7 +147,7 @@
     session.fail(shard, Outcome.NOT_SENT, now)
 
 
-def test_whole_answer_comes_with_the_last_shard(board: Board, budget: RetryBudget) -> None:
+def test_whole_answer_comes_with_the_last_shard(board: TargetSelector, budget: RetryBudget) -> None:
     session = Session(board, budget)
     assert [sent.target.instance for sent in session.sent] == [f"{s}-near" for s in SHARDS]
     for shard in SHARDS[:-1]:
@@ -160,7 +160,7 @@
     assert len(session.end.record_lists) == len(SHARDS)
 
 
-def test_late_shard_is_asked_of_a_second_target(board: Board, budget: RetryBudget) -> None:
+def test_late_shard_is_asked_of_a_second_target(board: TargetSelector, budget: RetryBudget) -> None:
     session = Session(board, budget)
     for shard in SHARDS[1:]:
         session.answer(shard)
@@ -172,7 +172,7 @@
     assert not session.open
 
 
-def test_answer_at_the_aim_names_what_it_lacks(board: Board, budget: RetryBudget) -> None:
+def test_answer_at_the_aim_names_what_it_lacks(board: TargetSelector, budget: RetryBudget) -> None:
     session = Session(board, budget, max_attempts=1)
     for shard in SHARDS[2:]:
         session.answer(shard)
@@ -182,7 +182,9 @@
     assert not session.open
 
 
-def test_after_the_aim_the_least_coverage_is_enough(board: Board, budget: RetryBudget) -> None:
+def test_after_the_aim_the_least_coverage_is_enough(
+    board: TargetSelector, budget: RetryBudget
+) -> None:
     session = Session(board, budget, max_attempts=1)
     for shard in SHARDS[3:]:
         session.answer(shard)
@@ -193,7 +195,7 @@
     assert session.end.missing == 2
 
 
-def test_time_is_up(board: Board, budget: RetryBudget) -> None:
+def test_time_is_up(board: TargetSelector, budget: RetryBudget) -> None:
     session = Session(board, budget, max_attempts=1)
     session.answer("s0")
     session.tick(END_AT)
@@ -214,7 +216,7 @@
     ],
 )
 def test_hopeless_query_is_given_up_at_once(
-    board: Board, no_budget: RetryBudget, outcome: Outcome, ran: bool
+    board: TargetSelector, no_budget: RetryBudget, outcome: Outcome, ran: bool
 ) -> None:
     """A refusal may say that nothing ran only when no target may have run a shard."""
     session = Session(board, no_budget, least=0.1)
@@ -226,7 +228,7 @@
     assert len(session.sent) <= MAX_SENDS * len(SHARDS)
 
 
-def test_shards_that_are_out_may_have_run(board: Board, no_budget: RetryBudget) -> None:
+def test_shards_that_are_out_may_have_run(board: TargetSelector, no_budget: RetryBudget) -> None:
     session = Session(board, no_budget, least=1.0)
     session.fail("s0", Outcome.NOT_RUN)
     assert isinstance(session.end, GatherFailed)
@@ -234,7 +236,7 @@
     assert session.end.lacking.startswith("s0: not_run at s0-near")
 
 
-def test_failed_connections_do_not_enlarge_the_budget(board: Board) -> None:
+def test_failed_connections_do_not_enlarge_the_budget(board: TargetSelector) -> None:
     """A request that could not be sent is asked for once, however often it is tried."""
     budget = RetryBudget(RetryBudgetLimits(0.2, 10.0, 0.0), 0.0)
     for _ in range(10):
@@ -247,7 +249,9 @@
     assert repeats <= 2
 
 
-def test_address_of_another_target_is_not_asked_again(board: Board, budget: RetryBudget) -> None:
+def test_address_of_another_target_is_not_asked_again(
+    board: TargetSelector, budget: RetryBudget
+) -> None:
     session = Session(board, budget)
     session.fail("s0", Outcome.ELSEWHERE)
     session.fail("s0", Outcome.ELSEWHERE)
@@ -258,7 +262,7 @@
 
 
 def test_nothing_is_known(budget: RetryBudget) -> None:
-    session = Session(Board(HERE, 1), budget)
+    session = Session(TargetSelector(HERE, 1), budget)
     assert isinstance(session.end, GatherFailed)
     assert session.end[:3] == (False, False, "too few shards can answer")
     assert session.end.lacking.startswith("s0: no target")
@@ -268,7 +272,7 @@
     "outcome", [Outcome.NOT_RUN, Outcome.FAILED, Outcome.BROKEN, Outcome.ELSEWHERE]
 )
 def test_failed_shard_is_asked_again_at_once(
-    board: Board, budget: RetryBudget, outcome: Outcome
+    board: TargetSelector, budget: RetryBudget, outcome: Outcome
 ) -> None:
     session = Session(board, budget)
     session.fail("s0", outcome)
@@ -276,7 +280,9 @@
     assert session.sent[-1].reason == outcome.value
 
 
-def test_no_more_targets_run_a_shard_than_allowed(board: Board, budget: RetryBudget) -> None:
+def test_no_more_targets_run_a_shard_than_allowed(
+    board: TargetSelector, budget: RetryBudget
+) -> None:
     session = Session(board, budget, max_attempts=1)
     session.fail("s0", Outcome.FAILED)
     assert len(session.sent) == len(SHARDS)
@@ -284,7 +290,7 @@
     assert session.sent[-1].target.instance == "s1-far"
 
 
-def test_empty_budget_allows_no_repeat(board: Board, no_budget: RetryBudget) -> None:
+def test_empty_budget_allows_no_repeat(board: TargetSelector, no_budget: RetryBudget) -> None:
     session = Session(board, no_budget)
     session.fail("s0", Outcome.FAILED)
     session.tick(session.gather.next_wake())
@@ -296,7 +302,7 @@
 
     @pytest.mark.parametrize("rounds", [1, 2], ids=["refused-once", "refused-again"])
     def test_shard_that_all_targets_refused_is_asked_again_within_the_aim(
-        self, board: Board, budget: RetryBudget, rounds: int
+        self, board: TargetSelector, budget: RetryBudget, rounds: int
     ) -> None:
         """Targets that shed six in ten were given up on after 3 to 42 ms of a client's 3 s."""
         session = Session(board, budget, least=1.0)
@@ -311,7 +317,9 @@
             assert session.sent[-1].reason == "held_back"
         assert now < ANSWER_AT
 
-    def test_each_refusal_doubles_the_rest(self, board: Board, budget: RetryBudget) -> None:
+    def test_each_refusal_doubles_the_rest(
+        self, board: TargetSelector, budget: RetryBudget
+    ) -> None:
         session = Session(board, budget, least=1.0)
         rests, now = [], 0.0
         session.fail("s0", Outcome.NOT_RUN, now)
@@ -325,7 +333,7 @@
         assert rests[0] < rests[1] < rests[2]
 
     def test_shard_whose_targets_are_down_is_asked_seldom(
-        self, board: Board, budget: RetryBudget
+        self, board: TargetSelector, budget: RetryBudget
     ) -> None:
         """The load: all targets of a shard refuse connections, at once, to each query."""
         session = Session(board, budget, least=1.0)
@@ -346,7 +354,7 @@
         assert len([sent for sent in next_one.sent if sent.shard == "s0"]) <= 1
 
     def test_target_that_is_back_before_the_aim_serves(
-        self, board: Board, budget: RetryBudget
+        self, board: TargetSelector, budget: RetryBudget
     ) -> None:
         session = Session(board, budget, least=1.0)
         refuse_connection(board, session, "s0", 0.0)
@@ -358,7 +366,7 @@
         session.answer("s0", 0.1)
         assert isinstance(session.end, Gathered)
 
-    def test_needed_shard_waits_for_an_allowance(self, board: Board) -> None:
+    def test_needed_shard_waits_for_an_allowance(self, board: TargetSelector) -> None:
         budget = RetryBudget(RetryBudgetLimits(0.2, 10.0, 0.0), OLD)
         session = Session(board, budget, least=1.0)
         session.fail("s0", Outcome.FAILED)
@@ -369,7 +377,7 @@
         session.tick(0.1)
         assert session.sent[-1].shard == "s0"
 
-    def test_query_that_waits_in_vain_ends_with_its_time(self, board: Board) -> None:
+    def test_query_that_waits_in_vain_ends_with_its_time(self, board: TargetSelector) -> None:
         budget = RetryBudget(RetryBudgetLimits(0.2, 10.0, 0.0), OLD)
         session = Session(board, budget, least=1.0)
         session.fail("s0", Outcome.FAILED)
@@ -380,7 +388,7 @@
         assert session.end[:3] == (True, True, "time is up")
         assert session.end.lacking == "s0: failed at s0-near, held back"
 
-    def test_shards_that_may_lack_leave_a_reserve(self, board: Board) -> None:
+    def test_shards_that_may_lack_leave_a_reserve(self, board: TargetSelector) -> None:
         """Two of ten may lack; the first two that fail leave the last repeat to the third."""
         budget = RetryBudget(RetryBudgetLimits(0.0, 10.0, 1.25), OLD)
         budget.set_members(1, 0.0)
@@ -393,7 +401,7 @@
         ("shards", "least"), [(3, 1.0), (5, 0.8), (10, 0.8)], ids=["few", "half", "all"]
     )
     def test_peer_may_leave_out_its_part_of_what_may_lack(
-        self, board: Board, budget: RetryBudget, shards: int, least: float
+        self, board: TargetSelector, budget: RetryBudget, shards: int, least: float
     ) -> None:
         group = GROUP._replace(shards=SHARDS[:shards])
         session = Session(board, budget, least=0.8, groups=(group,))
@@ -403,7 +411,7 @@
 class TestGroups:
     """Shards that a peer gathers."""
 
-    def test_merged_parts_count(self, board: Board, budget: RetryBudget) -> None:
+    def test_merged_parts_count(self, board: TargetSelector, budget: RetryBudget) -> None:
         session = Session(board, budget, groups=(GROUP,))
         assert {sent.shard for sent in session.sent} == set(SHARDS[3:])
         for shard in SHARDS[3:]:
@@ -415,7 +423,7 @@
         assert session.end.signature_by_shard["s0"] == b"peer0-s0"
 
     def test_peer_and_this_box_keep_to_the_attempts_together(
-        self, board: Board, budget: RetryBudget
+        self, board: TargetSelector, budget: RetryBudget
     ) -> None:
         """Of two attempts the peer has one; the other goes to a target elsewhere, once."""
         session = Session(board, budget, groups=(GROUP,))
@@ -426,19 +434,21 @@
         asked = [sent.target.instance for sent in session.sent if sent.shard == "s2"]
         assert asked == ["s2-far"]
 
-    def test_single_attempt_is_the_peers(self, board: Board, budget: RetryBudget) -> None:
+    def test_single_attempt_is_the_peers(self, board: TargetSelector, budget: RetryBudget) -> None:
         session = Session(board, budget, groups=(GROUP,), max_attempts=1)
         session.parts(["s0", "s1"], final=True)
         assert not [sent for sent in session.sent if sent.shard == "s2"]
 
-    def test_what_the_peer_lacks_is_asked_directly(self, board: Board, budget: RetryBudget) -> None:
+    def test_what_the_peer_lacks_is_asked_directly(
+        self, board: TargetSelector, budget: RetryBudget
+    ) -> None:
         session = Session(board, budget, groups=(GROUP,))
         session.parts(["s0", "s1"], final=True)
         assert (session.sent[-1].shard, session.sent[-1].reason) == ("s2", "lacking")
 
     @pytest.mark.parametrize("accepted", [False, True], ids=["not-accepted", "accepted-then-mute"])
     def test_silent_peer_is_gone_around(
-        self, board: Board, budget: RetryBudget, accepted: bool
+        self, board: TargetSelector, budget: RetryBudget, accepted: bool
     ) -> None:
         session = Session(board, budget, groups=(GROUP,))
         if accepted:
@@ -450,18 +460,20 @@
         asked = [sent.shard for sent in session.sent if sent.shard in GROUP.shards]
         assert asked == ["s0", "s1", "s2"]
 
-    def test_lost_peer_is_gone_around(self, board: Board, budget: RetryBudget) -> None:
+    def test_lost_peer_is_gone_around(self, board: TargetSelector, budget: RetryBudget) -> None:
         session = Session(board, budget, groups=(GROUP,))
         session.take(session.gather.group_lost(0, 0.01))
         assert [sent.shard for sent in session.sent[-3:]] == ["s0", "s1", "s2"]
 
-    def test_requests_around_a_peer_are_repeats(self, board: Board, no_budget: RetryBudget) -> None:
+    def test_requests_around_a_peer_are_repeats(
+        self, board: TargetSelector, no_budget: RetryBudget
+    ) -> None:
         """The peer may have asked the targets, so the budget has to allow it."""
         session = Session(board, no_budget, groups=(GROUP,))
         session.take(session.gather.group_lost(0, 0.01))
         assert isinstance(session.end, GatherFailed)
 
-    def test_no_shard_counts_twice(self, board: Board, budget: RetryBudget) -> None:
+    def test_no_shard_counts_twice(self, board: TargetSelector, budget: RetryBudget) -> None:
         """A part that came directly gives way to the peer's merged ones, which hold it too."""
         session = Session(board, budget, groups=(GROUP,))
         session.gather.group_accepted(0)
@@ -481,14 +493,14 @@
         "shards", [["s0", "s9"], ["s0", "unknown"]], ids=["not-its-shard", "unknown-shard"]
     )
     def test_parts_of_shards_that_were_not_asked_are_dropped(
-        self, board: Board, budget: RetryBudget, shards: list[str]
+        self, board: TargetSelector, budget: RetryBudget, shards: list[str]
     ) -> None:
         session = Session(board, budget, groups=(GROUP,))
         session.parts(shards, final=False)
         assert not session.gather.parts.gathered().signature_by_shard
 
     def test_peer_is_told_when_the_query_ends_without_it(
-        self, board: Board, budget: RetryBudget
+        self, board: TargetSelector, budget: RetryBudget
     ) -> None:
         session = Session(board, budget, least=0.5, groups=(GROUP,))
         for shard in SHARDS[3:]:
@@ -499,7 +511,7 @@
         assert CancelGroup(0, "peer:1") in session.other
 
 
-def test_partial_gather_gives_what_is_in(board: Board, budget: RetryBudget) -> None:
+def test_partial_gather_gives_what_is_in(board: TargetSelector, budget: RetryBudget) -> None:
     session = Session(board, budget, least=0.0, partial=True)
     session.answer("s0")
     first, _ = session.gather.parts.take_unreported()
@@ -513,7 +525,7 @@
     assert session.end.missing == 8
 
 
-def test_client_that_left_takes_everything_back(board: Board, budget: RetryBudget) -> None:
+def test_client_that_left_takes_everything_back(board: TargetSelector, budget: RetryBudget) -> None:
     session = Session(board, budget, groups=(GROUP,))
     session.take(session.gather.cancel())
     assert not session.open
@@ -523,7 +535,9 @@
 class TestElsewhere:
     """Shards that are late go through a peer beside other targets."""
 
-    def test_what_a_report_lacks_goes_in_one_group(self, board: Board, budget: RetryBudget) -> None:
+    def test_what_a_report_lacks_goes_in_one_group(
+        self, board: TargetSelector, budget: RetryBudget
+    ) -> None:
         elsewhere = Elsewhere()
         session = Session(board, budget, groups=(GROUP,), elsewhere=elsewhere)
         session.parts(["s0"], final=False)
@@ -531,7 +545,9 @@
         assert elsewhere.tried_by_shard == {"s1": {"s1-near"}, "s2": {"s2-near"}}
         assert {sent.shard for sent in session.sent} == set(SHARDS[3:])
 
-    def test_late_direct_shards_go_in_one_group(self, board: Board, budget: RetryBudget) -> None:
+    def test_late_direct_shards_go_in_one_group(
+        self, board: TargetSelector, budget: RetryBudget
+    ) -> None:
         session = Session(board, budget, elsewhere=Elsewhere())
         for shard in SHARDS[4:]:
             session.answer(shard)
@@ -540,7 +556,7 @@
         assert len(session.sent) == len(SHARDS)
 
     def test_no_shard_is_asked_more_often_than_allowed(
-        self, board: Board, budget: RetryBudget
+        self, board: TargetSelector, budget: RetryBudget
     ) -> None:
         session = Session(board, budget, least=1.0, groups=(GROUP,), elsewhere=Elsewhere())
         for shard in SHARDS[3:]:
@@ -555,7 +571,7 @@
 
     @pytest.mark.parametrize("first", [0, 1], ids=["merged-first", "single-first"])
     def test_part_that_came_twice_counts_once(
-        self, board: Board, budget: RetryBudget, first: int
+        self, board: TargetSelector, budget: RetryBudget, first: int
     ) -> None:
         """Merged records hold the shard's, so that the part that came by itself gives way."""
         session = Session(board, budget, groups=(GROUP,), elsewhere=Elsewhere())
@@ -568,7 +584,7 @@
 
     @pytest.mark.parametrize("lost", [False, True], ids=["silent", "link-lost"])
     def test_shards_of_a_lost_peer_go_to_another_one(
-        self, board: Board, budget: RetryBudget, lost: bool
+        self, board: TargetSelector, budget: RetryBudget, lost: bool
     ) -> None:
         """It may not have asked its targets, so that they may be asked again."""
         elsewhere = Elsewhere()
@@ -581,7 +597,7 @@
         assert elsewhere.tried_by_shard == dict.fromkeys(GROUP.shards, frozenset())
 
     def test_second_peer_asks_beside_itself_and_pays(
-        self, board: Board, budget: RetryBudget, no_budget: RetryBudget
+        self, board: TargetSelector, budget: RetryBudget, no_budget: RetryBudget
     ) -> None:
         session = Session(board, budget, least=0.0, max_attempts=1, partial=True, repeat=True)
         assert {sent.target.place for sent in session.sent} == {HERE}
@@ -599,7 +615,7 @@
     ],
 )
 def test_failure_tells_truly_whether_a_peer_ran_it(
-    board: Board, no_budget: RetryBudget, events: str, ran: bool
+    board: TargetSelector, no_budget: RetryBudget, events: str, ran: bool
 ) -> None:
     group = GroupPlan("peer:1", HERE, SHARDS, 0.06, 0.08)
     session = Session(board, no_budget, groups=(group,), max_attempts=1)
@@ -615,7 +631,7 @@
     """A peer whose targets are slow leaves their shards to others."""
 
     def test_peer_declines_what_is_better_elsewhere(
-        self, board: Board, budget: RetryBudget
+        self, board: TargetSelector, budget: RetryBudget
     ) -> None:
         make_slow(board, "s0-near")
         session = Session(board, budget, least=0.0, partial=True)
@@ -623,7 +639,7 @@
         assert {sent.shard for sent in session.sent} == set(SHARDS[1:])
 
     def test_where_all_are_slow_nothing_is_declined(
-        self, board: Board, budget: RetryBudget
+        self, board: TargetSelector, budget: RetryBudget
     ) -> None:
         """Under too much load all boxes would send their shards to each other."""
         for number, shard in enumerate(SHARDS * 20):
@@ -633,19 +649,19 @@
         session = Session(board, budget, least=0.0, partial=True)
         assert session.other == []
 
-    def test_repeat_is_never_declined(self, board: Board, budget: RetryBudget) -> None:
+    def test_repeat_is_never_declined(self, board: TargetSelector, budget: RetryBudget) -> None:
         make_slow(board, "s0-near")
         session = Session(board, budget, least=0.0, partial=True, repeat=True)
         assert session.sent[0].target.instance == "s0-near"
 
     def test_repeat_that_may_not_be_paid_is_given_back(
-        self, board: Board, no_budget: RetryBudget
+        self, board: TargetSelector, no_budget: RetryBudget
     ) -> None:
         """No target has seen it, so that it must not count as one of the shard's attempts."""
         session = Session(board, no_budget, least=0.0, partial=True, repeat=True)
         assert session.other == [Declined(SHARDS)]
 
-    def test_shard_that_peers_give_back_is_not_lost(self, board: Board) -> None:
+    def test_shard_that_peers_give_back_is_not_lost(self, board: TargetSelector) -> None:
         """The load: the allowances of single boxes run dry while others have theirs left.
 
         Queries were given up with most of their time left, as their last attempt was with a peer
@@ -673,7 +689,7 @@
         assert isinstance(session.end, Gathered)
 
     def test_declined_shards_go_elsewhere_and_are_no_repeats(
-        self, board: Board, no_budget: RetryBudget
+        self, board: TargetSelector, no_budget: RetryBudget
     ) -> None:
         elsewhere = Elsewhere()
         session = Session(board, no_budget, groups=(GROUP,), elsewhere=elsewhere)
@@ -683,14 +699,14 @@
         assert elsewhere.tried_by_shard == {"s1": {"s1-near"}}
 
     def test_shard_that_all_decline_is_asked_directly(
-        self, board: Board, no_budget: RetryBudget
+        self, board: TargetSelector, no_budget: RetryBudget
     ) -> None:
         session = Session(board, no_budget, groups=(GROUP,))
         session.take(session.gather.group_declined(0, ["s1"], 0.01))
         assert (session.sent[-1].shard, session.sent[-1].reason) == ("s1", "declined")
 
     def test_declined_shard_is_not_asked_again_for_the_peers_report(
-        self, board: Board, budget: RetryBudget
+        self, board: TargetSelector, budget: RetryBudget
     ) -> None:
         session = Session(board, budget, groups=(GROUP,), elsewhere=Elsewhere())
         session.take(session.gather.group_declined(0, ["s1"], 0.01))
@@ -698,7 +714,7 @@
         assert [command.group.shards for command in session.groups[1:]] == [("s1",), ("s2",)]
 
     def test_own_slow_target_leaves_its_shard_to_a_peer(
-        self, board: Board, budget: RetryBudget
+        self, board: TargetSelector, budget: RetryBudget
     ) -> None:
         make_slow(board, "s0-near")
         session = Session(board, budget, elsewhere=Elsewhere())
@@ -707,7 +723,7 @@
 
 
 def test_own_slow_target_is_passed_over_with_the_real_planner(
-    board: Board, budget: RetryBudget
+    board: TargetSelector, budget: RetryBudget
 ) -> None:
     planner = GroupPlanner(HERE, "own:1", board, PeerTracker())
     planner.set_peers((PeerBox("there:1", THERE),), True)
@@ -718,7 +734,7 @@
 
 
 def test_late_shards_are_asked_for_records_that_can_count(
-    board: Board, budget: RetryBudget
+    board: TargetSelector, budget: RetryBudget
 ) -> None:
     session = Session(board, budget, groups=(GROUP,), elsewhere=Elsewhere())
     for shard in SHARDS[3:]:
@@ -728,7 +744,7 @@
     assert session.groups[-1].floor == b"s7".ljust(16)
 
 
-def make_slow(board: Board, instance: str) -> None:
+def make_slow(board: TargetSelector, instance: str) -> None:
     """Let a target answer ten times as slowly as others."""
     service = instance.split("-", maxsplit=1)[0]
     slow = next(found for found in board.targets(service) if found.instance == instance)
--- a/tests/relay/test_grouping.py
+++ b/tests/relay/test_grouping.py
@@ -6,13 +6,13 @@
 import pytest
 
 from tests.relay.conftest import HERE, ROUTE, THERE, target
-from trackwheel.relay.board import Board
 from trackwheel.relay.const import PEER_AVOID_S, PEERS_IN_ROTATION
 from trackwheel.relay.gather_models import GatherPlan
 from trackwheel.relay.gatherers import choose_gatherers
 from trackwheel.relay.grouping import GroupPlanner, group_far_shards
 from trackwheel.relay.models import Place, Target
 from trackwheel.relay.peers import PeerBox, PeerTracker
+from trackwheel.relay.target_selector import TargetSelector
 
 BESIDE = Place("here", "here-b")
 YONDER = Place("yonder", "yonder-a")
@@ -30,7 +30,7 @@
     peer_tracker: PeerTracker | None = None,
     gathers: bool = True,
 ) -> list[tuple[str, tuple[str, ...]]]:
-    board = Board(HERE, 1)
+    board = TargetSelector(HERE, 1)
     targets: dict[str, tuple[Target, ...]] = {
         shard: tuple(target(f"{shard}-{place.region}", shard, place) for place in places)
         for shard, places in places_by_shard.items()
@@ -164,8 +164,8 @@
 """Places of the targets of four shards; each target is named after its shard and place."""
 
 
-def board_of(places_by_shard: dict[str, list[Place]]) -> Board:
-    board = Board(HERE, 1)
+def board_of(places_by_shard: dict[str, list[Place]]) -> TargetSelector:
+    board = TargetSelector(HERE, 1)
     board.set_targets(
         {
             shard: tuple(
@@ -235,7 +235,7 @@
     peers = [PeerBox(f"{place.failure_domain}:{n}", place) for place in places for n in range(4)]
     wanted: Counter[str] = Counter()
     for own in range(60):
-        planner = GroupPlanner(HERE, f"own:{own}", Board(HERE, 1), PeerTracker())
+        planner = GroupPlanner(HERE, f"own:{own}", TargetSelector(HERE, 1), PeerTracker())
         assert planner.links_wanted() == []
         planner.set_peers(tuple(peers), gathers)
         links = planner.links_wanted()
--- a/tests/relay/test_homes.py
+++ b/tests/relay/test_homes.py
@@ -9,7 +9,6 @@
 
 from tests.relay.conftest import HERE, OLD, ROUTE, THERE, target
 from trackwheel.peers.codec import Codec
-from trackwheel.relay.board import Board, Lack
 from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import GatherFailed, GatherPlan, SendGroup, SendPart
@@ -17,6 +16,7 @@
 from trackwheel.relay.models import Outcome, Place, RouteKey, TargetEnd
 from trackwheel.relay.peers import RELAY_MESSAGES, GroupForward, PeerBox, PeerTracker
 from trackwheel.relay.single import SendSingle, Single, SingleFailed, SinglePlan
+from trackwheel.relay.target_selector import NoTargetReason, TargetSelector
 
 BESIDE = Place("here", "here-b")
 YONDER = Place("yonder", "yonder-a")
@@ -30,8 +30,8 @@
     return ROUTE._replace(homes=homes)
 
 
-def make_board(places: tuple[Place, ...] = PLACES) -> Board:
-    board = Board(HERE, seed=1)
+def make_board(places: tuple[Place, ...] = PLACES) -> TargetSelector:
+    board = TargetSelector(HERE, seed=1)
     board.set_targets(
         {
             shard: tuple(
@@ -44,7 +44,7 @@
     return board
 
 
-def make_planner(board: Board, gathers: bool = True) -> GroupPlanner:
+def make_planner(board: TargetSelector, gathers: bool = True) -> GroupPlanner:
     planner = GroupPlanner(HERE, "own:1", board, PeerTracker())
     planner.set_peers(PEERS, gathers)
     return planner
@@ -126,13 +126,13 @@
 @pytest.mark.parametrize(
     ("places", "homes", "reason"),
     [
-        pytest.param(PLACES, {"nowhere"}, Lack.HOMES, id="home-without-targets"),
-        pytest.param((HERE, BESIDE), {"there"}, Lack.HOMES, id="targets-elsewhere-only"),
-        pytest.param((), {"here"}, Lack.UNKNOWN, id="no-targets"),
+        pytest.param(PLACES, {"nowhere"}, NoTargetReason.HOMES, id="home-without-targets"),
+        pytest.param((HERE, BESIDE), {"there"}, NoTargetReason.HOMES, id="targets-elsewhere-only"),
+        pytest.param((), {"here"}, NoTargetReason.UNKNOWN, id="no-targets"),
     ],
 )
 def test_request_without_a_home_is_refused_at_once(
-    places: tuple[Place, ...], homes: set[str], reason: Lack
+    places: tuple[Place, ...], homes: set[str], reason: NoTargetReason
 ) -> None:
     board = make_board(places)
     route = homed(frozenset(homes))
@@ -146,11 +146,11 @@
 
 
 def test_evacuated_home_is_refused_and_named() -> None:
-    board = Board(HERE, seed=1)
+    board = TargetSelector(HERE, seed=1)
     barred = target("a", "s0", HERE, leaving=True)
     board.set_targets({"s0": (barred, target("b", "s0", THERE))}, 0.0)
     single = Single(SinglePlan(homed(HOMES[0]), "s0", True, 3, 0.19, 1.0), board, make_budget())
-    assert single.start(0.0) == [SingleFailed(False, False, Lack.BARRED.value)]
+    assert single.start(0.0) == [SingleFailed(False, False, NoTargetReason.BARRED.value)]
 
 
 def test_request_that_runs_once_keeps_to_its_home() -> None:
--- a/tests/relay/test_lives.py
+++ b/tests/relay/test_lives.py
@@ -12,21 +12,21 @@
 from tests.relay.conftest import HERE, ROUTE, target
 from trackwheel.directory.models import EntryGone, TargetEntry, TargetsPush, TargetsRead
 from trackwheel.directory.targets import TargetDirectory
-from trackwheel.relay.board import Board
 from trackwheel.relay.down_reports import DownReports, TargetDown
 from trackwheel.relay.models import Load, Outcome
+from trackwheel.relay.target_selector import TargetSelector
 
 FIRST = target("t", "s")._replace(born_ms=1_000)
 SECOND = FIRST._replace(born_ms=9_000)
 
 
-def make_board() -> Board:
-    board = Board(HERE, 1)
+def make_board() -> TargetSelector:
+    board = TargetSelector(HERE, 1)
     board.set_targets({"s": (FIRST,)}, 0.0)
     return board
 
 
-def fail(board: Board, outcome: Outcome) -> None:
+def fail(board: TargetSelector, outcome: Outcome) -> None:
     for number in range(4):
         board.sent(FIRST, number, ROUTE, 0.0)
         board.ended(FIRST, number, outcome, Load(2, 12, 2), 0.01)
--- a/tests/relay/test_outbound_groups.py
+++ b/tests/relay/test_outbound_groups.py
@@ -8,12 +8,12 @@
 
 from tests.relay.conftest import HERE, ROUTE
 from trackwheel.peers.models import PeerIdentity
-from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan, SendGroup
 from trackwheel.relay.outbound_groups import OutboundGroups
 from trackwheel.relay.peers import GroupDeclined, GroupParts
+from trackwheel.relay.target_selector import TargetSelector
 
 PEER = PeerIdentity("box-2", "boot", "peer:1", "here", "here-a")
 GROUP = GroupPlan("peer:1", HERE, ("s0", "s1"), 0.06, 0.08)
@@ -48,7 +48,7 @@
     ],
 )
 def test_message_about_other_shards_is_passed_over(
-    board: Board, budget: RetryBudget, message: GroupParts | GroupDeclined
+    board: TargetSelector, budget: RetryBudget, message: GroupParts | GroupDeclined
 ) -> None:
     """It once ended the task of the link, and with it everything between the two boxes."""
     events: list[str] = []
--- a/tests/relay/test_single.py
+++ b/tests/relay/test_single.py
@@ -3,7 +3,6 @@
 import pytest
 
 from tests.relay.conftest import ROUTE, end
-from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.models import Outcome
 from trackwheel.relay.single import (
@@ -15,6 +14,7 @@
     SingleFailed,
     SinglePlan,
 )
+from trackwheel.relay.target_selector import TargetSelector
 
 NOT_RUN = [Outcome.NOT_RUN, Outcome.ELSEWHERE, Outcome.NOT_SENT]
 MAY_HAVE_RUN = [Outcome.FAILED, Outcome.CLOSED, Outcome.BROKEN]
@@ -24,7 +24,7 @@
     """Drive one request and remember what it asked for."""
 
     def __init__(
-        self, board: Board, budget: RetryBudget, repeatable: bool, max_attempts: int = 2
+        self, board: TargetSelector, budget: RetryBudget, repeatable: bool, max_attempts: int = 2
     ) -> None:
         plan = SinglePlan(ROUTE, "s0", repeatable, max_attempts, 0.18, 1.0)
         self.single = Single(plan, board, budget)
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("repeatable", [True, False], ids=["repeatable", "once"])
 @pytest.mark.parametrize("outcome", NOT_RUN)
 def test_request_that_did_not_run_goes_elsewhere(
-    board: Board, budget: RetryBudget, repeatable: bool, outcome: Outcome
+    board: TargetSelector, budget: RetryBudget, repeatable: bool, outcome: Outcome
 ) -> None:
     session = Session(board, budget, repeatable)
     session.ended(0, outcome)
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_request_that_may_have_run_is_not_sent_again(
-    board: Board, budget: RetryBudget, outcome: Outcome
+    board: TargetSelector, budget: RetryBudget, outcome: Outcome
 ) -> None:
     session = Session(board, budget, False)
     session.ended(0, outcome)
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_repeatable_request_is_sent_again(
-    board: Board, budget: RetryBudget, outcome: Outcome
+    board: TargetSelector, budget: RetryBudget, outcome: Outcome
 ) -> None:
     session = Session(board, budget, True)
     session.ended(0, outcome)
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("outcome", NOT_RUN)
 def test_refusal_says_truly_that_nothing_ran(
-    board: Board, no_budget: RetryBudget, outcome: Outcome
+    board: TargetSelector, no_budget: RetryBudget, outcome: Outcome
 ) -> None:
     session = Session(board, no_budget, False)
     while session.end is None:
@@ -95,7 +95,9 @@
     assert not session.end.ran
 
 
-def test_request_that_ran_once_is_never_called_not_run(board: Board, budget: RetryBudget) -> None:
+def test_request_that_ran_once_is_never_called_not_run(
+    board: TargetSelector, budget: RetryBudget
+) -> None:
     session = Session(board, budget, True)
     session.ended(0, Outcome.BROKEN)
     session.ended(1, Outcome.NOT_RUN)
@@ -107,21 +109,21 @@
 
 @pytest.mark.parametrize(("repeatable", "sends"), [(True, 2), (False, 1)], ids=["safe", "once"])
 def test_only_repeatable_requests_are_hedged(
-    board: Board, budget: RetryBudget, repeatable: bool, sends: int
+    board: TargetSelector, budget: RetryBudget, repeatable: bool, sends: int
 ) -> None:
     session = Session(board, budget, repeatable)
     session.take(session.single.tick(min(0.5, session.single.next_wake())))
     assert len(session.sent) == sends
 
 
-def test_time_is_up(board: Board, budget: RetryBudget) -> None:
+def test_time_is_up(board: TargetSelector, budget: RetryBudget) -> None:
     session = Session(board, budget, False)
     session.take(session.single.tick(1.0))
     assert session.end == SingleFailed(True, True, "time is up")
     assert session.cancelled == [0]
 
 
-def test_client_that_left_takes_everything_back(board: Board, budget: RetryBudget) -> None:
+def test_client_that_left_takes_everything_back(board: TargetSelector, budget: RetryBudget) -> None:
     session = Session(board, budget, True)
     session.take(session.single.cancel())
     assert session.cancelled == [0]
@@ -130,7 +132,7 @@
 
 @pytest.mark.parametrize("repeatable", [True, False], ids=["repeatable", "once"])
 def test_request_waits_for_targets_that_refuse_connections(
-    board: Board, budget: RetryBudget, repeatable: bool
+    board: TargetSelector, budget: RetryBudget, repeatable: bool
 ) -> None:
     """It was sent eight times within milliseconds and then given up, with its aim far off."""
     session = Session(board, budget, repeatable)
@@ -150,7 +152,7 @@
 
 
 def test_request_is_given_up_when_no_target_is_back_in_time(
-    board: Board, budget: RetryBudget
+    board: TargetSelector, budget: RetryBudget
 ) -> None:
     session = Session(board, budget, True)
     now, token = 0.0, 0
--- a/tests/relay/test_board.py
+++ b/tests/relay/test_target_selector.py
@@ -3,39 +3,41 @@
 import pytest
 
 from tests.relay.conftest import HERE, ROUTE, THERE, target
-from trackwheel.relay.board import Board
 from trackwheel.relay.const import EJECT_AFTER_FAILURES, MAX_EJECT_S, REPLACED_EJECT_S
 from trackwheel.relay.models import Load, Outcome, Target
+from trackwheel.relay.target_selector import TargetSelector
 
 NEAR = target("near", "s")
 FAR = target("far", "s", THERE)
 
 
-def make_board(*targets: Target) -> Board:
-    board = Board(HERE, seed=1)
+def make_board(*targets: Target) -> TargetSelector:
+    board = TargetSelector(HERE, seed=1)
     board.set_targets({"s": targets}, 0.0)
     return board
 
 
-def answer(board: Board, who: Target, now: float, took_s: float, load: Load | None = None) -> None:
+def answer(
+    board: TargetSelector, who: Target, now: float, took_s: float, load: Load | None = None
+) -> None:
     token = object()
     board.sent(who, token, ROUTE, now)
     board.ended(who, token, Outcome.OK, load, now + took_s)
 
 
-def fail(board: Board, who: Target, now: float, outcome: Outcome) -> None:
+def fail(board: TargetSelector, who: Target, now: float, outcome: Outcome) -> None:
     token = object()
     board.sent(who, token, ROUTE, now)
     board.ended(who, token, outcome, None, now)
 
 
-def warm(board: Board, *targets: Target) -> None:
+def warm(board: TargetSelector, *targets: Target) -> None:
     for number in range(30):
         for who in targets:
             answer(board, who, number * 0.1, 0.02)
 
 
-def names(board: Board, now: float) -> list[str]:
+def names(board: TargetSelector, now: float) -> list[str]:
     return [choice.target.instance for choice in board.rank("s", ROUTE, now)]
 
 
@@ -131,7 +133,7 @@
 
 def test_target_whose_address_another_one_has_is_not_even_a_last_resort() -> None:
     """Each request there counts against the budget of the service that has the address now."""
-    board = Board(HERE, 1)
+    board = TargetSelector(HERE, 1)
     gone, other = target("gone", "s"), target("other", "s")
     board.set_targets({"s": (gone, other)}, 0.0)
     board.sent(gone, 1, ROUTE, 0.0)
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -35,7 +35,6 @@
 from trackwheel.platform.wire import PlatformWire
 from trackwheel.quarantine.models import QUARANTINE_MESSAGES
 from trackwheel.quarantine.service import Quarantine
-from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.cold import ColdLimit, ColdTargetLimiter
 from trackwheel.relay.down_report_exchange import DownReportExchange
@@ -47,6 +46,7 @@
 from trackwheel.relay.outbound_groups import OutboundGroups
 from trackwheel.relay.peers import RELAY_MESSAGES, PeerBox
 from trackwheel.relay.service import RelayService
+from trackwheel.relay.target_selector import TargetSelector
 from trackwheel.relay.transport import TargetTransport
 from trackwheel.routing.models import Limits, RouteTable
 from trackwheel.telemetry.events import EventLog
@@ -106,7 +106,7 @@
         wire = PlatformWire(self.loads)
         self.budget = RetryBudget(settings.budget, now)
         self.cold_limiter = ColdTargetLimiter(settings.cold, self.budget.sharers)
-        self.board = Board(place, os.getpid(), self.cold_limiter)
+        self.board = TargetSelector(place, os.getpid(), self.cold_limiter)
         self.transport = TargetTransport(wire, self.board, steady_now, self.log)
         self.down_reports = DownReportExchange(
             self.hub, DownReports(self.board), self.transport, self.log
--- a/trackwheel/relay/attempts.py
+++ b/trackwheel/relay/attempts.py
@@ -3,7 +3,6 @@
 from enum import StrEnum
 from typing import Final
 
-from trackwheel.relay.board import Board, Choice
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.const import (
     HEDGE_MIN_RESPONSE_TIMES,
@@ -20,6 +19,7 @@
     SendGate,
     Target,
 )
+from trackwheel.relay.target_selector import Candidate, TargetSelector
 
 NEVER: Final = float("inf")
 
@@ -121,12 +121,12 @@
 
     def choose(
         self,
-        board: Board,
+        board: TargetSelector,
         budget: RetryBudget,
         route: RouteKey,
         now: float,
         needed: bool = True,
-    ) -> list[Choice] | Refusal:
+    ) -> list[Candidate] | Refusal:
         """Return the target to ask now, paid for, and those after it; or why there is none.
 
         `needed` says that the answer fails without this.
@@ -153,7 +153,7 @@
             return Refusal.NOT_NOW if budget.allows_any else Refusal.NO_MORE
         return choices
 
-    def _rests(self, choices: list[Choice], now: float) -> bool:
+    def _rests(self, choices: list[Candidate], now: float) -> bool:
         """Return whether all targets refused it a moment ago."""
         if choices[0].target.instance not in self._tried or self._refusals < len(choices):
             return False
@@ -189,7 +189,7 @@
         if outcome is Outcome.NOT_SENT:
             self._arrivals -= 1
 
-    def _rank(self, board: Board, route: RouteKey, now: float) -> list[Choice]:
+    def _rank(self, board: TargetSelector, route: RouteKey, now: float) -> list[Candidate]:
         """Return targets to ask: those that were not tried, then those that did not run it."""
         fresh = board.rank(self._service, route, now, self.tried, self._only_beside)
         if fresh or self.target_by_token:
@@ -206,7 +206,7 @@
         return self._arrivals == 0 or budget.try_spend(self._service, now, needed)
 
 
-def hedge_time(choices: list[Choice], answer_at: float, now: float) -> float:
+def hedge_time(choices: list[Candidate], answer_at: float, now: float) -> float:
     """Return when a second target is asked: late enough to be rare, early enough to help."""
     if len(choices) < 2:
         return NEVER
--- a/trackwheel/relay/down_reports.py
+++ b/trackwheel/relay/down_reports.py
@@ -2,9 +2,9 @@
 
 from typing import NamedTuple
 
-from trackwheel.relay.board import Board
 from trackwheel.relay.const import DOWN_REPORT_DISTRUST_S, DOWN_REPORT_INTERVAL_S, REPORTED_DOWN_S
 from trackwheel.relay.models import Life, Outcome, Target
+from trackwheel.relay.target_selector import TargetSelector
 from trackwheel.units import MILLISECONDS
 
 
@@ -46,7 +46,7 @@
     that box is distrusted for a while: it may be the one that is cut off.
     """
 
-    def __init__(self, board: Board) -> None:
+    def __init__(self, board: TargetSelector) -> None:
         self._board = board
         self._reported_at_by_life: dict[Life, float] = {}
         self._reporter_by_life: dict[Life, _Reporter] = {}
@@ -75,7 +75,7 @@
             return False
         failed_at = now - max(0.0, report.age_ms) / MILLISECONDS
         until = failed_at + REPORTED_DOWN_S
-        if until <= now or not self._board.told_down(report.life, failed_at, until):
+        if until <= now or not self._board.report_down(report.life, failed_at, until):
             return False
         self._clean_up(now)
         self._reported_at_by_life[report.life] = now
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -15,7 +15,6 @@
 from collections.abc import Sequence
 from typing import Final
 
-from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.closings import Closings
 from trackwheel.relay.const import DECLINE_RESPONSE_TIMES, MAX_LOGGED_SHARDS
@@ -34,6 +33,7 @@
 from trackwheel.relay.parts import PartsIn
 from trackwheel.relay.shard_requester import DECLINED, ShardRequester
 from trackwheel.relay.shards import ShardBook
+from trackwheel.relay.target_selector import TargetSelector
 
 ENDS_TARGETS: Final = "targets end under it"
 """Why a query is given up that is held."""
@@ -45,7 +45,7 @@
     def __init__(
         self,
         plan: GatherPlan,
-        board: Board,
+        board: TargetSelector,
         budget: RetryBudget,
         regrouping: Regrouping | None = None,
     ) -> None:
@@ -98,7 +98,7 @@
     def _hand_past_own(self, names: Sequence[str], now: float) -> set[str]:
         """Hand shards to peers beside targets of other failure domains; return which were."""
         for name in names:
-            beside = {t.instance for t in self._board.targets(name) if self._board.is_beside(t)}
+            beside = {t.instance for t in self._board.targets(name) if self._board.is_local(t)}
             self._shards[name].attempts.pass_over(beside)
         handed = self._hand_elsewhere(names, False, now)
         for name in names:
@@ -111,11 +111,11 @@
 
         Where all are slow, as under too much load, shards stay: others would send theirs here.
         """
-        for choice in self._board.rank(name, self.plan.route, now, only_beside=True):
+        for choice in self._board.rank(name, self.plan.route, now, own_domain_only=True):
             if not choice.last_resort and choice.cost_s < DECLINE_RESPONSE_TIMES * choice.usual_s:
                 return False
         choices = self._board.rank(name, self.plan.route, now)
-        return bool(choices) and not self._board.is_beside(choices[0].target)
+        return bool(choices) and not self._board.is_local(choices[0].target)
 
     def part_ended(
         self, token: int, end: TargetEnd, part: Part | None, now: float
--- a/trackwheel/relay/group_delegator.py
+++ b/trackwheel/relay/group_delegator.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Sequence
 
-from trackwheel.relay.board import Board
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan, Regrouping, SendGroup
 from trackwheel.relay.handed import HandedGroup, HandedGroups
 from trackwheel.relay.models import Passage
 from trackwheel.relay.parts import PartsIn
 from trackwheel.relay.shards import ShardBook
+from trackwheel.relay.target_selector import TargetSelector
 
 
 class GroupDelegator:
@@ -16,7 +16,7 @@
     def __init__(
         self,
         plan: GatherPlan,
-        board: Board,
+        board: TargetSelector,
         shards: ShardBook,
         groups: HandedGroups,
         parts: PartsIn,
--- a/trackwheel/relay/grouping.py
+++ b/trackwheel/relay/grouping.py
@@ -5,7 +5,6 @@
 from typing import Final, NamedTuple
 
 from trackwheel.fleet.members import ring_position
-from trackwheel.relay.board import Board
 from trackwheel.relay.const import (
     ACCEPT_SLACK_S,
     HEDGE_MIN_RESPONSE_TIMES,
@@ -17,6 +16,7 @@
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan
 from trackwheel.relay.models import Place, RouteKey
 from trackwheel.relay.peers import PeerBox, PeerTracker
+from trackwheel.relay.target_selector import TargetSelector
 
 RING_PLACES: Final = 2**64
 FARTHEST: Final = 2
@@ -34,7 +34,7 @@
     """Divide the shards of a query among this box and the peers beside their targets."""
 
     def __init__(
-        self, own: Place, own_address: str, board: Board, peer_tracker: PeerTracker
+        self, own: Place, own_address: str, board: TargetSelector, peer_tracker: PeerTracker
     ) -> None:
         self._own = own
         self._own_address = own_address
@@ -172,7 +172,7 @@
     own: Place,
     gathers: bool,
     peers: tuple[PeerBox, ...],
-    board: Board,
+    board: TargetSelector,
     peer_tracker: PeerTracker,
     now: float,
 ) -> list[ShardGroup]:
--- a/trackwheel/relay/inbound_groups.py
+++ b/trackwheel/relay/inbound_groups.py
@@ -7,7 +7,6 @@
 from trackwheel.peers.hub import Hub
 from trackwheel.peers.models import PeerIdentity
 from trackwheel.quarantine.service import Quarantine
-from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.fingerprint import fingerprint
 from trackwheel.relay.gather import Gather
@@ -22,6 +21,7 @@
     GroupParts,
 )
 from trackwheel.relay.runs import GatherRun, GatherTask, GroupSender
+from trackwheel.relay.target_selector import TargetSelector
 from trackwheel.relay.timer import Timer
 from trackwheel.relay.transport import TargetTransport
 from trackwheel.telemetry.events import EventLog
@@ -121,7 +121,7 @@
     def __init__(
         self,
         hub: Hub,
-        board: Board,
+        board: TargetSelector,
         budget: RetryBudget,
         transport: TargetTransport,
         groups: GroupSender,
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -7,7 +7,6 @@
 from trackwheel.http1.models import Request
 from trackwheel.http1.server import Exchange
 from trackwheel.quarantine.service import Quarantine
-from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.const import (
     FINAL_MARGIN_S,
@@ -27,6 +26,7 @@
 from trackwheel.relay.runs import GatherRun, GatherTask, SingleRun
 from trackwheel.relay.single import Single, SingleAnswered, SingleFailed, SinglePlan
 from trackwheel.relay.startup_queue import StartupQueue
+from trackwheel.relay.target_selector import TargetSelector
 from trackwheel.relay.timer import Timer
 from trackwheel.relay.transport import TargetTransport
 from trackwheel.routing.models import Route, RouteTable
@@ -42,7 +42,7 @@
     def __init__(
         self,
         wire: Wire,
-        board: Board,
+        board: TargetSelector,
         budget: RetryBudget,
         transport: TargetTransport,
         groups: OutboundGroups,
--- a/trackwheel/relay/shard_requester.py
+++ b/trackwheel/relay/shard_requester.py
@@ -3,12 +3,12 @@
 from typing import Final
 
 from trackwheel.relay.attempts import Refusal, hedge_time
-from trackwheel.relay.board import Board, Lack
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.const import LATE_RETRY_DELAY_RESPONSE_TIMES, RETRY_DELAY_RESPONSE_TIMES
 from trackwheel.relay.gather_models import CancelPart, GatherPlan, SendPart
 from trackwheel.relay.handed import HandedGroups
 from trackwheel.relay.shards import Shard, ShardBook
+from trackwheel.relay.target_selector import NoTargetReason, TargetSelector
 
 DECLINED: Final = "declined"
 """Why a shard is asked for that a peer has left to others."""
@@ -20,7 +20,7 @@
     def __init__(
         self,
         plan: GatherPlan,
-        board: Board,
+        board: TargetSelector,
         budget: RetryBudget,
         shards: ShardBook,
         groups: HandedGroups,
@@ -87,8 +87,8 @@
 
     def _no_target_reason(self, name: str, now: float) -> str:
         """Return why no target may be asked for a shard; nothing when some were."""
-        lack = self._board.lack(name, self._plan.route, now)
-        return "" if lack is Lack.TRIED else lack.value
+        reason = self._board.no_target_reason(name, self._plan.route, now)
+        return "" if reason is NoTargetReason.TRIED else reason.value
 
     def _is_needed(self, name: str) -> bool:
         """Return whether the answer fails without a shard, since too many others lack."""
--- a/trackwheel/relay/shards.py
+++ b/trackwheel/relay/shards.py
@@ -4,8 +4,8 @@
 from heapq import heappop, heappush
 
 from trackwheel.relay.attempts import NEVER, Attempts
-from trackwheel.relay.board import Lack
 from trackwheel.relay.gather_models import GatherPlan
+from trackwheel.relay.target_selector import NoTargetReason
 
 
 class Shard:
@@ -135,4 +135,4 @@
             states.append("held back")
         if waited:
             states.append(f"awaited of {', '.join(waited)}")
-        return ", ".join(states) or Lack.TRIED.value
+        return ", ".join(states) or NoTargetReason.TRIED.value
--- a/trackwheel/relay/single.py
+++ b/trackwheel/relay/single.py
@@ -8,9 +8,9 @@
 
 from trackwheel.http1.models import Response
 from trackwheel.relay.attempts import NEVER, Attempts, Refusal, hedge_time
-from trackwheel.relay.board import Board
 from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.models import OPEN_GATE, Outcome, RouteKey, SendGate, Target, TargetEnd
+from trackwheel.relay.target_selector import TargetSelector
 
 
 class SinglePlan(NamedTuple):
@@ -63,7 +63,7 @@
 class Single:
     """Decide, from events and the time, where one request goes and how it ends."""
 
-    def __init__(self, plan: SinglePlan, board: Board, budget: RetryBudget) -> None:
+    def __init__(self, plan: SinglePlan, board: TargetSelector, budget: RetryBudget) -> None:
         self.plan = plan
         self._board = board
         self._budget = budget
@@ -78,7 +78,7 @@
     def start(self, now: float) -> list[SingleCommand]:
         """Send the request to the best target."""
         if not self._ask("first", now) and not self._wait_for_rest(now):
-            lack = self._board.lack(self.plan.service, self.plan.route, now)
+            lack = self._board.no_target_reason(self.plan.service, self.plan.route, now)
             self._fail(lack.value, False)
         return self._take_commands()
 
--- a/trackwheel/relay/board.py
+++ b/trackwheel/relay/target_selector.py
@@ -19,7 +19,7 @@
 from trackwheel.relay.record import Flight, TargetRecord
 
 
-class Choice(NamedTuple):
+class Candidate(NamedTuple):
     """One target with what it is expected to take (seconds) and whether it is a last resort.
 
     `usual_s` is what targets at such a distance take as a rule. One that refused a connection is
@@ -34,14 +34,14 @@
     rests_until: float
 
 
-class TargetBelief(StrEnum):
+class TargetAvailability(StrEnum):
     """Say what this box begins to believe of a target."""
 
     OUT_OF_USE = "out_of_use"
     IN_USE = "in_use"
 
 
-class Lack(StrEnum):
+class NoTargetReason(StrEnum):
     """Say why no target of a service may get a request."""
 
     UNKNOWN = "no target is known"
@@ -51,7 +51,7 @@
     TRIED = "no target, or no repeat, is left"
 
 
-class Board:
+class TargetSelector:
     """Keep a record for each target and rank the targets of a service."""
 
     def __init__(
@@ -77,7 +77,7 @@
         }
         if self._cold_limiter is not None:
             self._cold_limiter.retain(known)
-            self._doubt_returned(chain.from_iterable(before.values()), now)
+            self._assume_returned_cold(chain.from_iterable(before.values()), now)
 
     def targets(self, service: str) -> tuple[Target, ...]:
         """Return the known targets of a service."""
@@ -91,7 +91,7 @@
         """Return whether a target stands in another region."""
         return target.place.region != self._place.region
 
-    def is_beside(self, target: Target) -> bool:
+    def is_local(self, target: Target) -> bool:
         """Return whether a target stands in this box's failure domain."""
         return target.place == self._place
 
@@ -106,7 +106,7 @@
     def sent(self, target: Target, token: object, route: RouteKey, now: float) -> None:
         """Take that a request went to a target."""
         record = self._record(target)
-        expected_s = self._expected(target, record, route, now)
+        expected_s = self._expected_s(target, record, route, now)
         record.flight_by_token[token] = Flight(now, expected_s, route)
         if self._cold_limiter is not None:
             self._cold_limiter.sent(target, now)
@@ -117,7 +117,7 @@
         flight = record.flight_by_token.pop(token, None)
         if flight is None:
             return
-        ratio = (now - flight.started) / max(1e-4, self._usual(target, flight.route))
+        ratio = (now - flight.started) / max(1e-4, self._usual_s(target, flight.route))
         if ratio > record.slowness(now):
             record.took(ratio, now)
 
@@ -129,7 +129,7 @@
         load: Load | None,
         now: float,
         cold_s: float = 0.0,
-    ) -> TargetBelief | None:
+    ) -> TargetAvailability | None:
         """Take how a request to a target ended; return what is believed of it from now on."""
         record = self._record(target)
         was_out = record.is_ejected
@@ -143,9 +143,9 @@
             self._learn_pace(target, record, flight, now)
         if record.is_ejected is was_out:
             return None
-        return TargetBelief.OUT_OF_USE if record.is_ejected else TargetBelief.IN_USE
+        return TargetAvailability.OUT_OF_USE if record.is_ejected else TargetAvailability.IN_USE
 
-    def told_down(self, life: Life, failed_at: float, until: float) -> bool:
+    def report_down(self, life: Life, failed_at: float, until: float) -> bool:
         """Take that another box could not connect to a target; return whether that is news.
 
         An answer that came here since then says more.
@@ -165,16 +165,16 @@
         route: RouteKey,
         now: float,
         tried: frozenset[str] = frozenset(),
-        only_beside: bool = False,
-    ) -> list[Choice]:
+        own_domain_only: bool = False,
+    ) -> list[Candidate]:
         """Return the targets that may get a request, the best one first.
 
-        With `only_beside`, none but those of this box's failure domain.
+        With `own_domain_only`, none but those of this box's failure domain.
         """
         choices = [
-            self._choice(target, route, now)
+            self._candidate(target, route, now)
             for target in self.targets(service)
-            if target.instance not in tried and (not only_beside or target.place == self._place)
+            if target.instance not in tried and (not own_domain_only or target.place == self._place)
             if route.allows(target.place.region)
             if self._may_ask(target, now)
         ]
@@ -200,19 +200,19 @@
             target.barred or self._is_held_cold(target, now) for target in self.targets(service)
         )
 
-    def lack(self, service: str, route: RouteKey, now: float) -> Lack:
+    def no_target_reason(self, service: str, route: RouteKey, now: float) -> NoTargetReason:
         """Return why no target of a service may get a request of a route that has not begun."""
         targets = self.targets(service)
         if not targets:
-            return Lack.UNKNOWN
+            return NoTargetReason.UNKNOWN
         if not any(route.allows(target.place.region) for target in targets):
-            return Lack.HOMES
+            return NoTargetReason.HOMES
         open_targets = self._open_targets(service, route)
         if not open_targets:
-            return Lack.BARRED
+            return NoTargetReason.BARRED
         if all(self._is_held_cold(target, now) for target in open_targets):
-            return Lack.COLD
-        return Lack.TRIED
+            return NoTargetReason.COLD
+        return NoTargetReason.TRIED
 
     def may_ask_soon(self, service: str, route: RouteKey, now: float) -> bool:
         """Return whether a cold target may get the next request within a second."""
@@ -223,7 +223,7 @@
 
     def warm_in_s(self, service: str, route: RouteKey, now: float) -> float:
         """Return in how many seconds the first target is warm if all are held as cold, else 0."""
-        if self.lack(service, route, now) is not Lack.COLD:
+        if self.no_target_reason(service, route, now) is not NoTargetReason.COLD:
             return 0.0
         open_targets = self._open_targets(service, route)
         return min(self._cold_until(target) - now for target in open_targets)
@@ -241,11 +241,11 @@
 
     def _learn_pace(self, target: Target, record: TargetRecord, flight: Flight, now: float) -> None:
         duration_s = now - flight.started
-        usual_s = self._usual(target, flight.route)
+        usual_s = self._usual_s(target, flight.route)
         self._paces.get(flight.route.name, self.is_far(target), flight.route.aim_s).add(duration_s)
         record.took(duration_s / max(1e-4, usual_s), now)
 
-    def _doubt_returned(self, before: Iterable[Target], now: float) -> None:
+    def _assume_returned_cold(self, before: Iterable[Target], now: float) -> None:
         """Take targets as cold whose evacuation was taken back: they may have started anew in it.
 
         Their word on that comes with their next heartbeat; until then they would get the usual
@@ -286,9 +286,9 @@
     def _cold_until(self, target: Target) -> float:
         return max(target.cold_until, self._record(target).cold_until)
 
-    def _choice(self, target: Target, route: RouteKey, now: float) -> Choice:
+    def _candidate(self, target: Target, route: RouteKey, now: float) -> Candidate:
         record = self._record(target)
-        expected_s = self._expected(target, record, route, now)
+        expected_s = self._expected_s(target, record, route, now)
         failure_cost = record.failure_rate(now) * FAILURE_COST_AIMS
         place_cost = 0.0
         if self.is_far(target):
@@ -298,10 +298,12 @@
         cost_s = expected_s + (failure_cost + place_cost) * route.aim_s
         cost_s *= 1.0 + self._random.random() * COST_JITTER
         last_resort = target.doubtful or record.is_out(now)
-        usual_s = self._usual(target, route)
-        return Choice(target, usual_s, expected_s, cost_s, last_resort, record.rests_until)
+        usual_s = self._usual_s(target, route)
+        return Candidate(target, usual_s, expected_s, cost_s, last_resort, record.rests_until)
 
-    def _expected(self, target: Target, record: TargetRecord, route: RouteKey, now: float) -> float:
+    def _expected_s(
+        self, target: Target, record: TargetRecord, route: RouteKey, now: float
+    ) -> float:
         """Return how long a request sent now is expected to take (seconds)."""
         slots = max(1, target.slots)
         busy = len(record.flight_by_token)
@@ -310,13 +312,13 @@
             busy = max(busy, load.running + load.waiting)
             slots = max(1, load.slots)
         rounds = max(1.0, (busy + 1) / slots)
-        usual_s = self._usual(target, route)
+        usual_s = self._usual_s(target, route)
         if now < self._cold_until(target):
             usual_s *= COLD_FACTOR
         slowness = max(1.0, record.slowness(now))
         return max(usual_s * rounds * slowness, record.stalled_s(now))
 
-    def _usual(self, target: Target, route: RouteKey) -> float:
+    def _usual_s(self, target: Target, route: RouteKey) -> float:
         return self.usual_s(route, self.is_far(target))
 
     def _record(self, target: Target) -> TargetRecord:
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -6,8 +6,8 @@
 
 from trackwheel.http1.models import EndKind, ExchangeEnd, Request, Response
 from trackwheel.http1.pool import Job, TargetPool
-from trackwheel.relay.board import Board, TargetBelief
 from trackwheel.relay.models import CallerRequest, Life, Outcome, RouteKey, Target, TargetEnd, Wire
+from trackwheel.relay.target_selector import TargetAvailability, TargetSelector
 from trackwheel.settings import split_address
 from trackwheel.telemetry.events import EventLog
 from trackwheel.units import MILLISECONDS
@@ -58,7 +58,7 @@
 class TargetTransport:
     """Send requests to targets and keep the board informed."""
 
-    def __init__(self, wire: Wire, board: Board, clock: Clock, log: EventLog) -> None:
+    def __init__(self, wire: Wire, board: TargetSelector, clock: Clock, log: EventLog) -> None:
         self._wire = wire
         self._board = board
         self._clock = clock
@@ -114,10 +114,10 @@
         def ended(end: ExchangeEnd) -> None:
             result = self._to_target_end(end, attempt.single)
             self.ended_by_outcome[(result.outcome.value,)] += 1
-            belief = self._board.ended(
+            availability = self._board.ended(
                 target, attempt.token, result.outcome, result.load, self._clock(), result.cold_s
             )
-            self._log_end(attempt, result, belief, sent_at)
+            self._log_end(attempt, result, availability, sent_at)
             for handler in self._on_attempt_end:
                 handler(attempt, result.outcome, sent_at)
             on_end(result)
@@ -135,7 +135,11 @@
                 handler(fingerprint, target)
 
     def _log_end(
-        self, attempt: TargetAttempt, end: TargetEnd, belief: TargetBelief | None, sent_at: float
+        self,
+        attempt: TargetAttempt,
+        end: TargetEnd,
+        availability: TargetAvailability | None,
+        sent_at: float,
     ) -> None:
         """Write what failed at a target, and what is believed of the target from now on."""
         target = attempt.target
@@ -160,12 +164,12 @@
                 ran_ms=round((self._clock() - sent_at) * MILLISECONDS, 1),
                 others_here=self._board.in_flight(target),
             )
-        if belief is not None:
+        if availability is not None:
             self._log.write(
                 "target_belief",
                 target=target.instance,
                 service=target.service,
-                belief=belief.value,
+                belief=availability.value,
                 after=end.outcome.value,
             )
 
