--- a/trackwheel/relay/inbound_groups.py
+++ b/trackwheel/relay/inbound_groups.py
@@ -1,4 +1,4 @@
-"""The shell that gathers groups of shards for peers and tells them what is in."""
+"""Groups of shards that this box gathers for peers, and the messages that report them."""
 
 from collections import deque
 
@@ -29,7 +29,7 @@
 
 
 class _InboundGroup:
-    """One group: its gather, and what its sender was told so far."""
+    """One group: its gather, and the reports that are still due to its sender."""
 
     def __init__(self, sender: PeerIdentity, forward: GroupForward, hub: Hub, now: float) -> None:
         self.sender = sender
@@ -40,39 +40,39 @@
         self._reports = deque(now + in_ms / MILLISECONDS for in_ms in times)
         self._timer = Timer(self._send_due_report)
         self._sends_at_once = forward.repeat
-        """Whether each part is told as it comes, not with others in a report."""
+        """Whether each part is sent as it arrives instead of with the next due report."""
 
     def start(self, run: GatherRun) -> None:
-        """Begin."""
+        """Start the gather and the timer of the reports."""
         self._run = run
         if not self._sends_at_once:
             self._timer.set(self._reports[0])
         run.start()
 
     def cancel(self) -> None:
-        """Stop since nobody waits any more."""
+        """Stop; the sender no longer waits."""
         self._timer.stop()
         if self._run is not None:
             self._run.cancel()
 
     def part_received(self) -> None:
-        """Tell of a new part, unless a report is still due."""
+        """Send a new part unless a report is still due."""
         if self._sends_at_once:
             self._report(False)
 
     def decline(self, command: Declined) -> None:
-        """Leave shards to others."""
+        """Tell the sender for which shards no target was asked."""
         shards = self.forward.shards
         positions = [position for position, name in enumerate(shards) if name in command.shards]
         self._hub.send(self.sender.address, GroupDeclined(self.forward.group_id, positions))
 
     def finish(self) -> None:
-        """Tell the rest, and that no more comes."""
+        """Send the remaining parts in a final message."""
         self._timer.stop()
         self._report(True)
 
     def _send_due_report(self) -> None:
-        """Report what is in; after the last report, tell of each part as it comes."""
+        """Send a report; after the last one, send each part as it arrives."""
         self._reports.popleft()
         if self._reports:
             self._timer.set(self._reports[0])
@@ -81,11 +81,12 @@
         self._report(False)
 
     def _report(self, final: bool) -> None:
-        """Send the parts that are in and were not sent before."""
-        assert self._run is not None, "only a gather that was started has parts"
+        """Send the received parts that were not sent before."""
+        assert self._run is not None, "a group reports only after its gather was started"
         signature_by_shard, records = self._run.task.gather.parts.take_unreported()
         if self.forward.repeat:
-            # The shards were asked elsewhere too: the sender takes whichever part comes first.
+            # Other boxes were asked for these shards too: the sender uses whichever part is first,
+            # which it can do only with parts that are not merged.
             for (name, signature), part in zip(signature_by_shard.items(), records, strict=True):
                 self._send({name: signature}, [part], False)
             signature_by_shard, records = {}, []
@@ -95,7 +96,7 @@
     def _send(
         self, signature_by_shard: dict[str, bytes], records: list[list[bytes]], final: bool
     ) -> None:
-        assert self._run is not None, "only a gather that was started has parts"
+        assert self._run is not None, "a group reports only after its gather was started"
         forward = self.forward
         positions = [
             position for position, name in enumerate(forward.shards) if name in signature_by_shard
@@ -116,7 +117,7 @@
 
 
 class InboundGroups:
-    """Gather groups for peers."""
+    """Gathers groups of shards for peers."""
 
     def __init__(
         self,
@@ -144,7 +145,7 @@
         return len(self._group_by_key)
 
     def _receive_forward(self, sender: PeerIdentity, message: GroupForward) -> None:
-        """Gather a group for a peer."""
+        """Start to gather a group for a peer."""
         now = steady_now()
         key = (sender.boot, message.group_id)
         if key in self._group_by_key:
@@ -166,7 +167,7 @@
         group.start(run)
 
     def _reject_held(self, sender: PeerIdentity, message: GroupForward) -> None:
-        """Ask nobody for a request that is held, and let its sender know."""
+        """Tell the sender that its request is held; no target is asked."""
         self._quarantine.tell(sender.address)
         self._hub.send(sender.address, GroupParts(message.group_id, [], [], b"", True, False))
 
@@ -212,7 +213,7 @@
             group.cancel()
 
     def _link_lost(self, address: str) -> None:
-        """Stop gathering for a peer that cannot be told any more."""
+        """Cancel the groups of a peer that can no longer be reached."""
         known = self._group_by_key.items()
         for key in [key for key, group in known if group.sender.address == address]:
             self._group_by_key.pop(key).cancel()
--- a/trackwheel/relay/outbound_groups.py
+++ b/trackwheel/relay/outbound_groups.py
@@ -1,4 +1,4 @@
-"""The shell that hands groups of shards to peers and takes what they tell."""
+"""Groups of shards that peers gather for this box, and the messages about them."""
 
 from collections.abc import Iterable
 from itertools import count
@@ -28,7 +28,7 @@
 
 
 class _OutboundGroup:
-    """A group that a peer gathers for a query of this box."""
+    """A group of shards that a peer gathers for a query of this box."""
 
     def __init__(self, run: GatherRun, command: SendGroup, now: float) -> None:
         self.run = run
@@ -39,14 +39,14 @@
         self.accepted = False
 
     def shards_at(self, positions: list[int]) -> list[str] | None:
-        """Return the shards at some positions of the request; None when one is out of range."""
+        """Return the shards at positions of the request; None if one is out of range."""
         if not all(0 <= position < len(self.shards) for position in positions):
             return None
         return [self.shards[position] for position in positions]
 
 
 class OutboundGroups:
-    """Hand groups of shards to peers for the gathers of this box."""
+    """Delegates groups of shards to peers for the gathers of this box."""
 
     def __init__(
         self,
@@ -66,12 +66,12 @@
         hub.on_link_lost(self._link_lost)
 
     def open_links(self, addresses: Iterable[str]) -> None:
-        """Open links to peers before there is work for them."""
+        """Open links to peers in advance."""
         for address in addresses:
             self._hub.open(address)
 
     def send_group(self, run: GatherRun, command: SendGroup) -> None:
-        """Hand a group to its peer."""
+        """Send a group to its peer."""
         now = steady_now()
         group_id = str(next(self._numbers))
         self._group_by_id[group_id] = _OutboundGroup(run, command, now)
@@ -80,20 +80,20 @@
         )
 
     def cancel_group(self, run: GatherRun, command: CancelGroup) -> None:
-        """Take a group back."""
+        """Cancel a group at its peer."""
         for group_id, group in list(self._group_by_id.items()):
             if group.run is run and group.number == command.number:
                 del self._group_by_id[group_id]
                 self._hub.send(group.address, GroupCancel(group_id))
 
     def peer_silent(self, command: PeerSilent) -> None:
-        """Note a peer that showed no life."""
+        """Record a peer that did not respond in time."""
         if not command.accepted:
             self.peer_tracker.record_failure(command.address, steady_now())
         self._log.write("peer_silent", peer=command.address, accepted=command.accepted)
 
     def forget(self, run: GatherRun) -> None:
-        """Drop the groups of a query that ended."""
+        """Remove the groups of a query that ended."""
         for group_id in [key for key, group in self._group_by_id.items() if group.run is run]:
             del self._group_by_id[group_id]
 
@@ -180,7 +180,7 @@
         )
 
     def _reject(self, sender: PeerIdentity, message: GroupDeclined | GroupParts) -> None:
-        """Pass over what names shards that were not asked for; the group goes on as if unsaid."""
+        """Ignore and log a message about shards that were not requested; the group continues."""
         self._log.write(
             "peer_message_rejected",
             peer=sender.box_id,
--- a/trackwheel/relay/peers.py
+++ b/trackwheel/relay/peers.py
@@ -1,4 +1,4 @@
-"""What is known of the peers that gather shards for this box, and the messages to them."""
+"""State of the peers that gather shards for this box, and the messages exchanged with them."""
 
 from bisect import bisect_right
 from collections.abc import Callable, Iterable, Sequence
@@ -15,13 +15,13 @@
 
 
 class GroupForward(NamedTuple):
-    """Ask a peer for some shards of a query; times are what is left when it is sent (ms).
+    """Request some shards of a query from a peer; times are remaining milliseconds when sent.
 
-    The peer reports what is in at `report_in_ms`, again at `answer_in_ms`, and sends each part that
-    comes later as it comes. With `repeat`, other targets were asked for the shards before: the
-    peer asks those beside it and no others, and pays for that. Only records above `floor` are sent.
-    The answer can do with `least_coverage` of these shards. Only targets in the regions `homes` are
-    asked, any when it is empty.
+    The peer reports the received parts at `report_in_ms` and again at `answer_in_ms`, and sends
+    later parts as they arrive. With `repeat`, other targets were asked for the shards before: the
+    peer asks only targets of its own failure domain, at the cost of its own retry budget. Only
+    records above `floor` are sent. The answer needs the share `least_coverage` of these shards.
+    Only targets in the regions `homes` are asked; if it is empty, all may be.
     """
 
     group_id: str
@@ -47,23 +47,23 @@
 
 
 class GroupAccepted(NamedTuple):
-    """Say that the peer works on the shards."""
+    """Confirm that the peer works on the shards."""
 
     group_id: str
 
 
 class GroupDeclined(NamedTuple):
-    """Leave shards, by place in the request, to others: no target was asked for them here."""
+    """Decline shards, given by position in the request, for which the peer asked no target."""
 
     group_id: str
     shards: list[int]
 
 
 class GroupParts(NamedTuple):
-    """Bring parts: shards by place in the request, their signatures, their greatest records.
+    """Parts: shards by position in the request, their signatures and their merged top records.
 
-    `ran` says whether targets may have run any of the shards, `closed` how many targets ended the
-    connection under one so far.
+    `ran` tells whether targets may have run any of the shards, `closed` how many targets have
+    closed the connection during one so far.
     """
 
     group_id: str
@@ -76,7 +76,7 @@
 
 
 class GroupCancel(NamedTuple):
-    """Say that nobody waits for the shards any more."""
+    """Cancel a group: its shards are no longer needed."""
 
     group_id: str
 
@@ -85,57 +85,61 @@
 
 
 GOLDEN_RATIO_STEP: Final = 0.6180339887
-"""Step of the turn among peers: its multiples fall evenly into parts of any size."""
+"""Step of the rotation among peers: its multiples modulo 1 are spread evenly over any intervals."""
 
 
 class PeerBox(NamedTuple):
-    """A box to which shards may be handed."""
+    """A box to which shards may be delegated."""
 
     address: str
     place: Place
     speed: float = 1.0
-    """How fast its processor is, in cores."""
+    """Processor speed in cores."""
 
 
 class PeerTracker:
-    """Know the round trip to each peer and which ones showed no life lately."""
+    """Tracks the round trip to each peer and which peers have recently failed to respond."""
 
     def __init__(self, is_linked: Callable[[str], bool] = lambda address: False) -> None:
         self._is_linked = is_linked
         self._round_trip_by_address: dict[str, float] = {}
-        self._avoid_until_by_address: dict[str, float] = {}
-        self._turn = 0
+        self._avoided_until_by_address: dict[str, float] = {}
+        self._picks = 0
 
     def round_trip_s(self, address: str) -> float:
-        """Return the usual time to a peer and back (seconds)."""
+        """Return the smoothed round trip to a peer (seconds)."""
         return self._round_trip_by_address.get(address, INITIAL_ROUND_TRIP_S)
 
     def record_accepted(self, address: str, took_s: float) -> None:
-        """Take how long a peer took to accept."""
+        """Record how long a peer took to accept a group."""
         before = self._round_trip_by_address.get(address, took_s)
         self._round_trip_by_address[address] = before + (took_s - before) * ROUND_TRIP_WEIGHT
-        self._avoid_until_by_address.pop(address, None)
+        self._avoided_until_by_address.pop(address, None)
 
     def record_failure(self, address: str, now: float) -> None:
-        """Take that a peer showed no life, or was lost."""
-        self._avoid_until_by_address[address] = now + PEER_AVOID_S
+        """Record that a peer did not respond or that its link was lost."""
+        self._avoided_until_by_address[address] = now + PEER_AVOID_S
 
     def pick(self, peers: Sequence[PeerBox], now: float) -> PeerBox | None:
-        """Return one of the first usable peers in turn, None when there is none.
+        """Return one of the first usable peers in rotation, None if there is none.
 
-        They come in this box's own order. It keeps to a few, so that links to them stand: opening
-        one takes three ways there and back, and with all in turn nearly every query met a peer
-        without a link. Faster boxes have their turn more often.
+        `peers` are in this box's preferred order. Only a few are used, so that links to them stay
+        open: opening one takes three round trips, and a rotation over all peers made nearly every
+        query meet a peer without a link. Faster boxes are picked more often.
         """
         usable = [
-            peer for peer in peers if self._avoid_until_by_address.get(peer.address, 0.0) <= now
+            peer for peer in peers if self._avoided_until_by_address.get(peer.address, 0.0) <= now
         ][:PEERS_IN_ROTATION]
         if not usable:
             return None
-        self._turn += 1
-        speeds = list(accumulate(peer.speed for peer in usable))
-        return usable[bisect_right(speeds, self._turn * GOLDEN_RATIO_STEP % 1.0 * speeds[-1])]
+        self._picks += 1
+        cumulative_speeds = list(accumulate(peer.speed for peer in usable))
+        return usable[
+            bisect_right(
+                cumulative_speeds, self._picks * GOLDEN_RATIO_STEP % 1.0 * cumulative_speeds[-1]
+            )
+        ]
 
     def with_link(self, peers: Iterable[PeerBox]) -> list[PeerBox]:
-        """Return the peers to which a link stands."""
+        """Return the peers to which a link is open."""
         return [peer for peer in peers if self._is_linked(peer.address)]
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -1,4 +1,4 @@
-"""The shell of the relay: takes clients' requests and answers them."""
+"""Entry point of the relay: receives clients' requests and responds to them."""
 
 from collections import Counter
 from http import HTTPStatus
@@ -37,7 +37,7 @@
 
 
 class RelayService:
-    """Serve clients' requests from targets, directly or through peers beside them."""
+    """Serves clients' requests from targets, directly or through peers in their failure domains."""
 
     def __init__(
         self,
@@ -68,12 +68,12 @@
         self._links_timer = Timer(self._open_links)
 
     def set_table(self, table: RouteTable) -> None:
-        """Take a configuration; requests under way keep the one they began with."""
+        """Set the configuration; requests in progress keep the one they started with."""
         self._table = table
         self._startup_queue.release()
 
     def set_peers(self, peers: tuple[PeerBox, ...], gathers: bool) -> None:
-        """Take the boxes to which shards may be handed, and whether this box asks targets."""
+        """Set the peers to which shards may be delegated, and whether this box is a gatherer."""
         self._planner.set_peers(peers, gathers)
         self._links_timer.set(steady_now() + LINK_OPEN_DELAY_S)
 
@@ -81,7 +81,7 @@
         self._groups.open_links(self._planner.links_wanted())
 
     def handle(self, request: Request, exchange: Exchange) -> None:
-        """Serve one request of a client."""
+        """Serve one client request."""
         table = self._table
         if table is None:
             self._startup_queue.add(request, exchange)
@@ -106,7 +106,7 @@
             self._serve_query(caller, route, table.version, exchange)
 
     def _refuse_held(self, caller: CallerRequest, route: Route, exchange: Exchange) -> bool:
-        """Refuse a request at once that is kept from targets; return whether it is."""
+        """Refuse a request that is held in quarantine; return whether it was refused."""
         retry_after_s = self._quarantine.waits_s(caller.fingerprint)
         if retry_after_s <= 0.0:
             return False
@@ -123,7 +123,7 @@
         return True
 
     def _refuse_without_routes(self, request: Request, exchange: Exchange) -> None:
-        """Refuse a request that came before any configuration was known here."""
+        """Refuse a request that arrived before this box had a configuration."""
         caller = self._wire.read_request(request)
         reason = "no configuration is known yet"
         self.ended_by_kind[("no_configuration",)] += 1
@@ -133,7 +133,7 @@
         )
 
     def _plan_single(self, caller: CallerRequest, route: Route, one_target: bool) -> SinglePlan:
-        """Return the plan for one target, or for one at a time."""
+        """Return the plan for a request to one target; with `one_target`, for a single attempt."""
         return SinglePlan(
             route=RouteKey(route.name, route.aim_s, route.homes),
             service=route.shards[0] if route.shards else self._divider.pick(route),
@@ -141,7 +141,7 @@
             max_attempts=1 if one_target else route.max_attempts,
             answer_at=_answer_at(caller, route),
             end_at=_end_at(caller, route),
-            # The one send of a trial passes the gate that keeps others of its content waiting.
+            # A trial's only attempt bypasses the gate that blocks other requests of its content.
             gate=OPEN_GATE if one_target else self._quarantine.gate(caller.fingerprint),
         )
 
@@ -171,7 +171,7 @@
     def _serve_after_trial(
         self, caller: CallerRequest, route: Route, version: int, exchange: Exchange
     ) -> None:
-        """Send a query that may end targets to one of them, and serve it once that has answered."""
+        """Send a query suspected of crashing targets to one of them; serve it if that answers."""
 
         def done(result: SingleAnswered | SingleFailed) -> None:
             if self._quarantine.gate(caller.fingerprint).passage(steady_now()) is Passage.OPEN:
@@ -213,7 +213,7 @@
         run.start()
 
     def _client_left(self, caller: CallerRequest, route: str, run: GatherRun | SingleRun) -> None:
-        """Take that a client left before its answer."""
+        """Cancel the request of a client that disconnected before the response."""
         run.cancel()
         self.ended_by_kind[("client_left",)] += 1
         age_ms = (steady_now() - caller.http.arrived) * MILLISECONDS
@@ -243,7 +243,7 @@
         failed: GatherFailed | SingleFailed,
         retry_after_s: float = RETRY_AFTER_S,
     ) -> None:
-        """Give the final answer of a request that is given up."""
+        """Send the final response of a request that failed."""
         if not failed.ran:
             answer = self._wire.refusal(
                 HTTPStatus.SERVICE_UNAVAILABLE, retry_after_s, failed.reason
@@ -298,7 +298,7 @@
 
 
 def _answer_at(caller: CallerRequest, route: Route) -> float:
-    """Return the last moment to answer within the aim (monotonic seconds)."""
+    """Return the last moment to answer within the target latency (monotonic seconds)."""
     margin_s = RESPONSE_MARGIN_S
     if caller.http.opening:
         margin_s += NEW_CONNECTION_MARGIN_S
--- a/trackwheel/relay/target_selector.py
+++ b/trackwheel/relay/target_selector.py
@@ -1,4 +1,4 @@
-"""What this box knows of each target, judged by its answers, and the choice among them."""
+"""Selection of targets by the outcomes and response times that this box has observed."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -20,10 +20,10 @@
 
 
 class Candidate(NamedTuple):
-    """One target with what it is expected to take (seconds) and whether it is a last resort.
+    """One target with its expected response time (seconds); a last resort ranks behind all others.
 
-    `usual_s` is what targets at such a distance take as a rule. One that refused a connection is
-    not asked before `rests_until` (monotonic seconds).
+    `usual_s` is the usual response time at the target's distance. A target that refused a
+    connection gets no request before `rests_until` (monotonic seconds).
     """
 
     target: Target
@@ -35,14 +35,14 @@
 
 
 class TargetAvailability(StrEnum):
-    """Say what this box begins to believe of a target."""
+    """Whether this box has just ejected a target or taken it back into use."""
 
     OUT_OF_USE = "out_of_use"
     IN_USE = "in_use"
 
 
 class NoTargetReason(StrEnum):
-    """Say why no target of a service may get a request."""
+    """Why no target of a service may get a request."""
 
     UNKNOWN = "no target is known"
     HOMES = "no target is in the regions that may serve it"
@@ -52,7 +52,7 @@
 
 
 class TargetSelector:
-    """Keep a record for each target and rank the targets of a service."""
+    """Keeps a record for each target and ranks the targets of a service."""
 
     def __init__(
         self, place: Place, seed: int, cold_limiter: ColdTargetLimiter | None = None
@@ -61,12 +61,12 @@
         self._random = Random(seed)
         self._cold_limiter = cold_limiter
         self._record_by_life: dict[Life, TargetRecord] = {}
-        """What was believed of a target's earlier life ends with that."""
+        """Keyed by incarnation, so that a restarted target begins with an empty record."""
         self._paces = Paces()
         self._targets_by_service: dict[str, tuple[Target, ...]] = {}
 
     def set_targets(self, targets_by_service: dict[str, tuple[Target, ...]], now: float) -> None:
-        """Take the directory of targets; records of targets that are gone are dropped."""
+        """Set the known targets; drop records of others that have no request in flight."""
         before = self._targets_by_service
         self._targets_by_service = targets_by_service
         known = {target.life for target in self._all_targets()}
@@ -88,23 +88,23 @@
         return frozenset(target.place.failure_domain for target in self.targets(service))
 
     def is_far(self, target: Target) -> bool:
-        """Return whether a target stands in another region."""
+        """Return whether a target is in another region."""
         return target.place.region != self._place.region
 
     def is_local(self, target: Target) -> bool:
-        """Return whether a target stands in this box's failure domain."""
+        """Return whether a target is in this box's failure domain."""
         return target.place == self._place
 
     def usual_s(self, route: RouteKey, far: bool) -> float:
-        """Return the usual time of a route's answers (seconds)."""
+        """Return the usual response time of a route (seconds)."""
         return self._paces.get(route.name, far, route.aim_s).usual_s
 
     def in_flight(self, target: Target) -> int:
-        """Return how many requests of this box the target has not answered yet."""
+        """Return the number of this box's requests that the target has not answered yet."""
         return len(self._record(target).flight_by_token)
 
     def sent(self, target: Target, token: object, route: RouteKey, now: float) -> None:
-        """Take that a request went to a target."""
+        """Record that a request was sent to a target."""
         record = self._record(target)
         expected_s = self._expected_s(target, record, route, now)
         record.flight_by_token[token] = Flight(now, expected_s, route)
@@ -112,7 +112,7 @@
             self._cold_limiter.sent(target, now)
 
     def withdrawn(self, target: Target, token: object, now: float) -> None:
-        """Take that an unanswered request was taken back: it took at least so long."""
+        """Record that an unanswered request was withdrawn; its age is a lower bound of its time."""
         record = self._record(target)
         flight = record.flight_by_token.pop(token, None)
         if flight is None:
@@ -130,9 +130,9 @@
         now: float,
         cold_s: float = 0.0,
     ) -> TargetAvailability | None:
-        """Take how a request to a target ended; return what is believed of it from now on."""
+        """Record the outcome of a request; return the target's availability if it changed."""
         record = self._record(target)
-        was_out = record.is_ejected
+        was_ejected = record.is_ejected
         flight = record.flight_by_token.pop(token, None)
         if load is not None:
             record.told(load, now)
@@ -140,15 +140,15 @@
             record.cold_until = max(record.cold_until, now + cold_s)
         record.ended(outcome, now)
         if outcome is Outcome.OK and flight is not None:
-            self._learn_pace(target, record, flight, now)
-        if record.is_ejected is was_out:
+            self._record_response_time(target, record, flight, now)
+        if record.is_ejected is was_ejected:
             return None
         return TargetAvailability.OUT_OF_USE if record.is_ejected else TargetAvailability.IN_USE
 
     def report_down(self, life: Life, failed_at: float, until: float) -> bool:
-        """Take that another box could not connect to a target; return whether that is news.
+        """Record that another box could not connect to a target; return whether this had effect.
 
-        An answer that came here since then says more.
+        An answer received here after that failure takes precedence.
         """
         target = next((t for t in self._all_targets() if t.life == life), None)
         if target is None:
@@ -169,7 +169,7 @@
     ) -> list[Candidate]:
         """Return the targets that may get a request, the best one first.
 
-        With `own_domain_only`, none but those of this box's failure domain.
+        With `own_domain_only`, only targets in this box's failure domain are ranked.
         """
         choices = [
             self._candidate(target, route, now)
@@ -183,25 +183,26 @@
     def has_target_at(
         self, service: str, place: Place, now: float, tried: frozenset[str] = frozenset()
     ) -> bool:
-        """Return whether a service has a target in a failure domain that is in use.
+        """Return whether a service has a target in use in a failure domain.
 
-        A cold one that gets little counts only where all of the service's targets are such ones.
+        A cold target with a request limit counts only if all of the service's targets are such.
         """
-        there = [
+        targets_in_use = [
             target
             for target in self.targets(service)
             if target.place == place
             and target.instance not in tried
             and self._is_in_use(target, now)
         ]
-        if any(not self._is_held_cold(target, now) for target in there):
+        if any(not self._is_limited_as_cold(target, now) for target in targets_in_use):
             return True
-        return bool(there) and all(
-            target.barred or self._is_held_cold(target, now) for target in self.targets(service)
+        return bool(targets_in_use) and all(
+            target.barred or self._is_limited_as_cold(target, now)
+            for target in self.targets(service)
         )
 
     def no_target_reason(self, service: str, route: RouteKey, now: float) -> NoTargetReason:
-        """Return why no target of a service may get a request of a route that has not begun."""
+        """Return why no target of a service may get a new request of a route."""
         targets = self.targets(service)
         if not targets:
             return NoTargetReason.UNKNOWN
@@ -210,26 +211,26 @@
         open_targets = self._open_targets(service, route)
         if not open_targets:
             return NoTargetReason.BARRED
-        if all(self._is_held_cold(target, now) for target in open_targets):
+        if all(self._is_limited_as_cold(target, now) for target in open_targets):
             return NoTargetReason.COLD
         return NoTargetReason.TRIED
 
     def may_ask_soon(self, service: str, route: RouteKey, now: float) -> bool:
-        """Return whether a cold target may get the next request within a second."""
+        """Return whether a cold target will accept another request within a second."""
         return self._cold_limiter is not None and any(
-            self._is_held_cold(target, now) and self._cold_limiter.share(target, now) > 0
+            self._is_limited_as_cold(target, now) and self._cold_limiter.share(target, now) > 0
             for target in self._open_targets(service, route)
         )
 
     def warm_in_s(self, service: str, route: RouteKey, now: float) -> float:
-        """Return in how many seconds the first target is warm if all are held as cold, else 0."""
+        """Return the seconds until the first target is warm if all are limited as cold, else 0."""
         if self.no_target_reason(service, route, now) is not NoTargetReason.COLD:
             return 0.0
         open_targets = self._open_targets(service, route)
         return min(self._cold_until(target) - now for target in open_targets)
 
     def _open_targets(self, service: str, route: RouteKey) -> list[Target]:
-        """Return the targets that a route's homes allow and that may get new requests."""
+        """Return the targets that the route's homes allow and that are not barred."""
         return [
             target
             for target in self.targets(service)
@@ -239,17 +240,19 @@
     def _all_targets(self) -> Iterable[Target]:
         return chain.from_iterable(self._targets_by_service.values())
 
-    def _learn_pace(self, target: Target, record: TargetRecord, flight: Flight, now: float) -> None:
+    def _record_response_time(
+        self, target: Target, record: TargetRecord, flight: Flight, now: float
+    ) -> None:
         duration_s = now - flight.started
         usual_s = self._usual_s(target, flight.route)
         self._paces.get(flight.route.name, self.is_far(target), flight.route.aim_s).add(duration_s)
         record.took(duration_s / max(1e-4, usual_s), now)
 
     def _assume_returned_cold(self, before: Iterable[Target], now: float) -> None:
-        """Take targets as cold whose evacuation was taken back: they may have started anew in it.
+        """Treat targets as cold once their evacuation ends: they may have restarted during it.
 
-        Their word on that comes with their next heartbeat; until then they would get the usual
-        work, many times what a cold one bears.
+        They report that only with their next heartbeat; until then they would get the usual load,
+        which is many times what a cold target can take.
         """
         barred = {target.life for target in before if target.barred}
         for target in self._all_targets():
@@ -263,7 +266,7 @@
                 record.cold_until = max(record.cold_until, now + duration_s)
 
     def _is_in_use(self, target: Target, now: float) -> bool:
-        """Return whether a target may get new requests and is no last resort."""
+        """Return whether a target may get new requests and is not a last resort."""
         if target.barred or target.doubtful:
             return False
         record = self._record(target)
@@ -273,12 +276,12 @@
         """Return whether a target may get a request at all."""
         if target.barred or self._record(target).gone_until > now:
             return False
-        return not self._is_held_cold(target, now) or (
+        return not self._is_limited_as_cold(target, now) or (
             self._cold_limiter is not None and self._cold_limiter.allows(target, now)
         )
 
-    def _is_held_cold(self, target: Target, now: float) -> bool:
-        """Return whether a target is cold and its service has a bound for that."""
+    def _is_limited_as_cold(self, target: Target, now: float) -> bool:
+        """Return whether a target is cold and its service limits requests to cold targets."""
         if self._cold_limiter is None or now >= self._cold_until(target):
             return False
         return self._cold_limiter.limit_of(target.service).requests_per_s > 0.0
@@ -290,12 +293,12 @@
         record = self._record(target)
         expected_s = self._expected_s(target, record, route, now)
         failure_cost = record.failure_rate(now) * FAILURE_COST_AIMS
-        place_cost = 0.0
+        distance_cost = 0.0
         if self.is_far(target):
-            place_cost = FAR_COST_AIMS
+            distance_cost = FAR_COST_AIMS
         elif target.place != self._place:
-            place_cost = OTHER_DOMAIN_COST_AIMS
-        cost_s = expected_s + (failure_cost + place_cost) * route.aim_s
+            distance_cost = OTHER_DOMAIN_COST_AIMS
+        cost_s = expected_s + (failure_cost + distance_cost) * route.aim_s
         cost_s *= 1.0 + self._random.random() * COST_JITTER
         last_resort = target.doubtful or record.is_out(now)
         usual_s = self._usual_s(target, route)
@@ -304,19 +307,19 @@
     def _expected_s(
         self, target: Target, record: TargetRecord, route: RouteKey, now: float
     ) -> float:
-        """Return how long a request sent now is expected to take (seconds)."""
+        """Return the expected response time of a request sent now (seconds)."""
         slots = max(1, target.slots)
         busy = len(record.flight_by_token)
         load = record.load(now)
         if load is not None:
             busy = max(busy, load.running + load.waiting)
             slots = max(1, load.slots)
-        rounds = max(1.0, (busy + 1) / slots)
+        queue_rounds = max(1.0, (busy + 1) / slots)
         usual_s = self._usual_s(target, route)
         if now < self._cold_until(target):
             usual_s *= COLD_FACTOR
         slowness = max(1.0, record.slowness(now))
-        return max(usual_s * rounds * slowness, record.stalled_s(now))
+        return max(usual_s * queue_rounds * slowness, record.stalled_s(now))
 
     def _usual_s(self, target: Target, route: RouteKey) -> float:
         return self.usual_s(route, self.is_far(target))
