--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -840,7 +840,7 @@
         REPEATS + "test_members_that_come_anew_fit_under_the_rule",
         Mutant(
             "trackwheel/relay/allowance_sharers.py",
-            "0 if self._is_new(self._born, now) else ",
+            "0 if self._is_new(self._started_at, now) else ",
             "",
         ),
     ),
--- a/trackwheel/relay/budget.py
+++ b/trackwheel/relay/budget.py
@@ -1,7 +1,7 @@
-"""The budget of repeats: a sliding window for each service, safe for all boxes together.
+"""Retry budget: a sliding window for each service that limits the retries of all boxes together.
 
-Each box allows itself a part of the requests that it sent itself, plus its share of the fixed
-allowance. Sums of such parts keep the fleet's bound, whoever comes or goes.
+Each box may use a ratio of the first requests that it sent itself, plus its share of a fixed
+allowance. The sum of these never exceeds the limit of the fleet, whichever boxes join or leave.
 """
 
 from collections import deque
@@ -19,7 +19,10 @@
 
 
 class RetryBudgetLimits(NamedTuple):
-    """The bound for the whole fleet: repeats within a window (seconds)."""
+    """Limit for the whole fleet: retries within a window (seconds).
+
+    They may number `ratio` times the first requests plus `extra`.
+    """
 
     ratio: float
     window_s: float
@@ -27,7 +30,7 @@
 
 
 class SlidingWindowCounter:
-    """Count events of the last window, in buckets."""
+    """Counts the events of a sliding window in buckets."""
 
     def __init__(self, window_s: float) -> None:
         self._bucket_s = window_s / BUDGET_BUCKETS
@@ -44,7 +47,7 @@
         self._count_by_bucket.append((bucket, 1))
 
     def total(self, now: float, buckets: int) -> int:
-        """Return how many events the newest buckets hold; older ones are forgotten."""
+        """Return the number of events in the newest buckets; drop older ones."""
         oldest = int(now / self._bucket_s) - buckets
         while self._count_by_bucket and self._count_by_bucket[0][0] < oldest:
             self._total -= self._count_by_bucket.popleft()[1]
@@ -52,60 +55,64 @@
 
 
 class RetryBudget:
-    """Decide whether one more request for a service may be sent than clients asked for."""
+    """Decides whether a retry or hedge for a service may be sent."""
 
-    def __init__(self, limits: RetryBudgetLimits, born: float) -> None:
+    def __init__(self, limits: RetryBudgetLimits, started_at: float) -> None:
         self._limits = limits
-        self.sharers = AllowanceSharers(born, limits.window_s)
-        """The boxes that divide the fixed allowance."""
+        self.sharers = AllowanceSharers(started_at, limits.window_s)
+        """Counts the boxes that divide the fixed allowance."""
         self._domains_by_shard: dict[str, frozenset[str]] = {}
-        self._firsts_by_service: dict[str, SlidingWindowCounter] = {}
-        self._repeats_by_service: dict[str, SlidingWindowCounter] = {}
+        self._first_requests_by_service: dict[str, SlidingWindowCounter] = {}
+        self._retries_by_service: dict[str, SlidingWindowCounter] = {}
         self.denied = 0
 
     def set_members(self, members: int, now: float) -> None:
-        """Take how many boxes are known."""
+        """Set the number of known boxes."""
         self.sharers.set_members(members, now)
 
     def set_gatherers(
         self, gatherers_by_domain: Mapping[str, int], own_domain: str, gathers: bool, now: float
     ) -> None:
-        """Take how many boxes of each failure domain ask targets for others, and if this does."""
+        """Set the number of gatherers in each failure domain, and whether this box is one."""
         self.sharers.set_gatherers(gatherers_by_domain, own_domain, gathers, now)
 
     def set_shards(self, domains_by_shard: dict[str, frozenset[str]]) -> None:
-        """Take in which failure domains the targets of each shard are."""
+        """Set the failure domains in which each shard has targets."""
         self._domains_by_shard = domains_by_shard
 
     @property
     def allows_any(self) -> bool:
-        """Return whether a repeat may ever be paid for, so that it can be worth waiting."""
+        """Return whether a retry can ever be allowed, so that waiting for one can help."""
         return self._limits.ratio > 0.0 or self._limits.extra > 0.0
 
     def count_first(self, service: str, now: float) -> None:
         """Count a first request for a service."""
-        self._count(self._firsts_by_service, service).add(now)
+        self._count(self._first_requests_by_service, service).add(now)
 
     def try_spend(self, service: str, now: float, needed: bool = True) -> bool:
-        """Pay for one repeat; return False when the budget does not allow it.
+        """Charge one retry; return False if the budget does not allow it.
 
-        `needed` says that an answer fails without it; others leave a reserve.
+        `needed` tells that an answer fails without it; other retries leave a reserve.
         """
-        # One bucket less on the side of requests and one more on that of repeats: no window,
-        # wherever it begins, then holds more than the rule says.
-        firsts = self._count(self._firsts_by_service, service).total(now, BUDGET_BUCKETS - 1)
-        repeats = self._count(self._repeats_by_service, service).total(now, BUDGET_BUCKETS + 1)
-        allowed = firsts * self._limits.ratio * BUDGET_RATIO_SHARE + self._extra(service, now)
+        # First requests are counted over one bucket less than the window and retries over one more,
+        # so that no window exceeds the limit, wherever it begins.
+        first_requests = self._count(self._first_requests_by_service, service).total(
+            now, BUDGET_BUCKETS - 1
+        )
+        retries = self._count(self._retries_by_service, service).total(now, BUDGET_BUCKETS + 1)
+        allowed = first_requests * self._limits.ratio * BUDGET_RATIO_SHARE + self._extra(
+            service, now
+        )
         if not needed:
             allowed *= 1.0 - BUDGET_RESERVE_SHARE
-        if repeats + 1 > allowed:
+        if retries + 1 > allowed:
             self.denied += 1
             return False
-        self._count(self._repeats_by_service, service).add(now)
+        self._count(self._retries_by_service, service).add(now)
         return True
 
     def _extra(self, service: str, now: float) -> float:
-        """Return this box's part of the fixed allowance for a service."""
+        """Return this box's share of the fixed allowance for a service."""
         members = self.sharers.in_fleet(now)
         if not members:
             return 0.0
--- a/trackwheel/relay/cold.py
+++ b/trackwheel/relay/cold.py
@@ -1,9 +1,9 @@
-"""How many requests a cold target gets from this box, safe for all boxes together, without I/O.
+"""Rate limit of requests to cold targets that holds for all boxes together, without I/O.
 
-A target that has just started, or that has turned cold again, bears so many requests a second, and
-falls over well above that. The bound holds for the sum over all boxes, also over those that are cut
-off from each other: each box that may ask the target has a fixed share of it, and uses no slack
-that another one leaves.
+A target that has just started, or has become cold again, can take only a limited number of requests
+a second and fails well above that. The limit holds for the sum over all boxes, even over those that
+are cut off from each other: each box that may use the target has a fixed share of it and uses no
+capacity that another one leaves.
 """
 
 from collections import deque
@@ -15,22 +15,22 @@
 from trackwheel.relay.models import Life, Target
 
 COLD_WINDOW_S: Final = 1.0
-"""The span in which the requests to a cold target are counted, as its bound is given."""
+"""Window in which the requests to a cold target are counted; limits are given for one second."""
 MAX_FLEET_VIEWS: Final = 2
-"""Views of the fleet that may stand beside each other: while it is cut in two, each half counts
-only its own boxes and chooses others that ask targets. With the bound divided by as much, the
-parts of both halves together stay within it."""
+"""Most views of the fleet that can exist at once: while a partition splits it in two, each half
+counts only its own boxes and chooses its own gatherers. Shares divided by this number stay within
+the limit in sum over both halves."""
 
 
 class ColdLimitMargin(NamedTuple):
-    """The operator's slack above what a cold target bears: a factor, and requests in a second."""
+    """The operator's margin above a cold limit: a factor, and a number of requests a second."""
 
     overshoot: float
     slack: float
 
 
 class ColdLimit(NamedTuple):
-    """What the targets of a service bear while cold (requests a second; 0: no bound is given).
+    """Requests a second that a service's targets can take while cold; 0 means no limit.
 
     They are cold for `duration_s` after a start (seconds).
     """
@@ -39,11 +39,11 @@
     duration_s: float
 
 
-UNBOUNDED: Final = ColdLimit(0.0, 0.0)
+UNLIMITED: Final = ColdLimit(0.0, 0.0)
 
 
 class ColdTargetLimiter:
-    """Count what this box sends to each cold target, and hold it within its share of the bound."""
+    """Limits what this box sends to each cold target to its share of the limit."""
 
     def __init__(self, margin: ColdLimitMargin, sharers: AllowanceSharers) -> None:
         self._margin = margin
@@ -53,19 +53,19 @@
         self._sent_at_by_life: dict[Life, deque[float]] = {}
 
     def set_limits(self, limit_by_service: Mapping[str, ColdLimit], shards: frozenset[str]) -> None:
-        """Take what the services' cold targets bear, and which services are shards of a query."""
+        """Set the limits by service, and which services are shards of a query."""
         self._limit_by_service = limit_by_service
         self._shards = shards
 
     def limit_of(self, service: str) -> ColdLimit:
-        """Return what the cold targets of a service bear."""
-        return self._limit_by_service.get(service, UNBOUNDED)
+        """Return the limit for cold targets of a service."""
+        return self._limit_by_service.get(service, UNLIMITED)
 
     def share(self, target: Target, now: float) -> int:
-        """Return how many requests in a second this box may send to a cold target.
+        """Return how many requests a second this box may send to a cold target.
 
-        A shard's target is asked by those boxes of its own failure domain that ask for others; any
-        box may ask one of another service.
+        Targets of shards get requests from the gatherers of their own failure domain, targets of
+        other services from any box.
         """
         limit = self.limit_of(target.service)
         if target.service in self._shards:
@@ -74,28 +74,28 @@
             boxes = self._sharers.in_fleet(now)
         if not boxes:
             return 0
-        bound = limit.requests_per_s * self._margin.overshoot + self._margin.slack
-        return floor(bound / (MAX_FLEET_VIEWS * boxes))
+        limit_per_s = limit.requests_per_s * self._margin.overshoot + self._margin.slack
+        return floor(limit_per_s / (MAX_FLEET_VIEWS * boxes))
 
     def allows(self, target: Target, now: float) -> bool:
-        """Return whether a target that is cold now may get one more request from this box."""
+        """Return whether a cold target may get one more request from this box now."""
         if self.limit_of(target.service).requests_per_s <= 0.0:
             return True
         return len(self._recent_sends(target, now)) < self.share(target, now)
 
     def sent(self, target: Target, now: float) -> None:
-        """Count a request to a target, which may turn out to have been cold by then."""
+        """Count a request to any target, since it may turn out to have been cold."""
         if self.limit_of(target.service).requests_per_s > 0.0:
             self._recent_sends(target, now).append(now)
 
     def retain(self, lives: set[Life]) -> None:
-        """Drop what is known of targets that are gone."""
+        """Drop the state of all other targets."""
         self._sent_at_by_life = {
             life: sent for life, sent in self._sent_at_by_life.items() if life in lives
         }
 
     def _recent_sends(self, target: Target, now: float) -> deque[float]:
-        """Return when requests went to a target within the window before now."""
+        """Return the times of the requests to a target within the current window."""
         sent = self._sent_at_by_life.setdefault(target.life, deque())
         while sent and sent[0] <= now - COLD_WINDOW_S:
             sent.popleft()
