--- a/trackwheel/relay/down_report_exchange.py
+++ b/trackwheel/relay/down_report_exchange.py
@@ -1,4 +1,4 @@
-"""The shell that tells the boxes beside the same targets which of them are down."""
+"""Sends down reports to the other gatherers of the failure domain and receives theirs."""
 
 from collections.abc import Iterable
 
@@ -13,7 +13,7 @@
 
 
 class DownReportExchange:
-    """Carry report of targets between this box and those that ask the same ones."""
+    """Exchanges down reports with the boxes that send requests to the same targets."""
 
     def __init__(
         self, hub: Hub, reports: DownReports, transport: TargetTransport, log: EventLog
@@ -26,7 +26,7 @@
         transport.on_attempt_end(self._request_ended)
 
     def set_boxes(self, addresses: Iterable[str]) -> None:
-        """Take the other boxes of the failure domain that ask targets."""
+        """Set the other gatherers of the own failure domain."""
         self._boxes = tuple(sorted(addresses))[:DOWN_REPORT_MAX_BOXES]
 
     def _request_ended(self, attempt: TargetAttempt, outcome: Outcome, sent_at: float) -> None:
--- a/trackwheel/relay/down_reports.py
+++ b/trackwheel/relay/down_reports.py
@@ -1,4 +1,4 @@
-"""News of targets that refuse connections, among the boxes beside them, decided without I/O."""
+"""Reports of targets that refuse connections, between gatherers of a domain, without I/O."""
 
 from typing import NamedTuple
 
@@ -9,9 +9,9 @@
 
 
 class TargetDown(NamedTuple):
-    """Tell that a target could not be connected to, so long before this was sent (ms).
+    """Report that a connection to a target failed `age_ms` before this was sent.
 
-    `born_ms` is when it started (Unix milliseconds); of a later start this says nothing.
+    `born_ms` is the target's start time (Unix milliseconds); later incarnations are not concerned.
     """
 
     instance: str
@@ -20,7 +20,7 @@
 
     @property
     def life(self) -> Life:
-        """Return which target, and which start of it, this is about."""
+        """Return the incarnation of the target that this is about."""
         return self.instance, self.born_ms
 
 
@@ -28,7 +28,7 @@
 
 
 class _Reporter(NamedTuple):
-    """Remember who called a target down, since when, and until when that counts."""
+    """The box that reported a target down, the time of the failure, and the end of its effect."""
 
     box: str
     failed_at: float
@@ -56,7 +56,7 @@
     def request_ended(
         self, target: Target, outcome: Outcome, sent_at: float, now: float
     ) -> TargetDown | None:
-        """Take how a request of this box ended; return what to tell the others, if anything."""
+        """Record the outcome of a request of this box; return the report to send, if any."""
         if outcome is Outcome.OK:
             self._note_contradiction(target.life, sent_at)
             return None
@@ -70,7 +70,7 @@
         return TargetDown(target.instance, 0.0, target.born_ms)
 
     def receive(self, box: str, report: TargetDown, now: float) -> bool:
-        """Take what another box tells; return whether that changes what is believed here."""
+        """Apply a report of another box; return whether it had any effect."""
         if self._distrusted_until_by_box.get(box, 0.0) > now:
             return False
         failed_at = now - max(0.0, report.age_ms) / MILLISECONDS
@@ -83,7 +83,7 @@
         return True
 
     def _note_contradiction(self, life: Life, sent_at: float) -> None:
-        """Doubt the box that called a target down which answers a request sent after that."""
+        """Distrust the box that reported a target down if a request sent after that succeeded."""
         reporter = self._reporter_by_life.get(life)
         if reporter is None or not reporter.failed_at <= sent_at < reporter.until:
             return
@@ -91,7 +91,7 @@
         self._distrusted_until_by_box[reporter.box] = sent_at + DOWN_REPORT_DISTRUST_S
 
     def _clean_up(self, now: float) -> None:
-        """Drop, once a second, what no longer decides anything."""
+        """Remove expired entries, at most once a second."""
         if now < self._next_clean_up:
             return
         self._next_clean_up = now + 1.0
--- a/trackwheel/relay/gatherers.py
+++ b/trackwheel/relay/gatherers.py
@@ -1,10 +1,11 @@
-"""Which boxes of a failure domain ask its targets, when there are many.
+"""Choice of the gatherers: the boxes of a failure domain that send requests to its targets.
 
-Where many boxes share few queries, each would know next to nothing of each target. A few of
-them ask for all: their knowledge is fresh, and their connections are kept in use.
+If many boxes shared few queries, each would have little recent data on each target. A few boxes
+therefore gather for all: their data is recent and their connections stay in use.
 
-The fastest ones do: a group of 29 shards takes some 15 ms of a core, which a box with half a core
-makes 30 ms of and one with two cores 7 ms, while the urgent queries have 112 ms in all.
+The fastest boxes are chosen: a group of 29 shards takes some 15 ms of CPU time on one core, which
+is 30 ms on a box with half a core and 7 ms on one with two, while urgent queries have 112 ms in
+all.
 """
 
 from collections.abc import Iterable
@@ -15,7 +16,7 @@
 
 
 def choose_gatherers(boxes: Iterable[PeerBox]) -> frozenset[str]:
-    """Return the addresses of the boxes that ask targets; every box picks the same ones."""
+    """Return the addresses of the gatherers; every box computes the same ones."""
     boxes_by_domain: dict[str, list[PeerBox]] = {}
     for box in boxes:
         boxes_by_domain.setdefault(box.place.failure_domain, []).append(box)
@@ -23,7 +24,7 @@
 
 
 def _of_domain(boxes: list[PeerBox]) -> list[PeerBox]:
-    """Return the fastest boxes that have the needed part of the domain's speed together."""
+    """Return the fastest boxes that together have the needed part of the domain's speed."""
     if len(boxes) <= SMALL_DOMAIN_BOXES:
         return boxes
     ranked = sorted(boxes, key=lambda box: (-box.speed, ring_position(box.address)))
--- a/trackwheel/relay/group_delegator.py
+++ b/trackwheel/relay/group_delegator.py
@@ -1,4 +1,4 @@
-"""Handing shards of one query to peers: which ones, with how many attempts, without I/O."""
+"""Delegation of one query's shards to peers, with their share of the attempts, without I/O."""
 
 from collections.abc import Sequence
 
@@ -11,7 +11,7 @@
 
 
 class GroupDelegator:
-    """Hand groups of shards over, and know which shards are left to which peer."""
+    """Delegates groups of shards and tracks which shards each peer still has."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._regrouping = regrouping
 
     def delegate(self, group: GroupPlan) -> SendGroup:
-        """Leave a group to a peer: a first one with all attempts but one, a repeat with one."""
+        """Delegate a group: a first one with all attempts but one, a repeat with one attempt."""
         handed = HandedGroup(group, self._spare_of(group))
         number = self._groups.add(handed)
         if not group.repeat:
@@ -48,7 +48,7 @@
         return SendGroup(number, group, floor, handed.least_coverage)
 
     def delegate_elsewhere(self, names: Sequence[str], repeat: bool, now: float) -> list[SendGroup]:
-        """Hand shards to peers local targets that were not tried, where the query may go there."""
+        """Delegate shards to peers near targets not tried yet, if the gate lets the query pass."""
         tried_by_shard = {
             name: self._shards[name].attempts.tried
             for name in names
@@ -62,11 +62,11 @@
         return [self.delegate(group) for group in groups]
 
     def pending_shards(self, number: int) -> list[str]:
-        """Return the shards that are left to a peer."""
+        """Return the shards of a group that its peer still has."""
         return self._shards.in_group(self._groups[number].plan.shards, number)
 
     def _spare_of(self, group: GroupPlan) -> int:
-        """Return how many shards of a group its peer may leave out: a part of what may lack."""
+        """Return how many shards of a group may be missing: its part of the query's number."""
         if group.repeat:
             return 0
         return self._shards.spare * len(group.shards) // len(self._plan.shards)
--- a/trackwheel/relay/shard_requester.py
+++ b/trackwheel/relay/shard_requester.py
@@ -1,4 +1,4 @@
-"""Asking targets for single shards of one query: now, soon, or not at all, without I/O."""
+"""Requests for single shards of one query: sent now, held back, or given up, without I/O."""
 
 from typing import Final
 
@@ -11,11 +11,11 @@
 from trackwheel.relay.target_selector import NoTargetReason, TargetSelector
 
 DECLINED: Final = "declined"
-"""Why a shard is asked for that a peer has left to others."""
+"""Reason of a request for a shard that a peer has declined."""
 
 
 class ShardRequester:
-    """Send shards to targets, hold back those that may not be asked for now, give up the rest."""
+    """Requests shards from targets, holds back those that must wait, and gives up the rest."""
 
     def __init__(
         self,
@@ -34,33 +34,33 @@
         self._next_token = 0
 
     def ask_or_hold_back(self, name: str, reason: str, now: float) -> SendPart | None:
-        """Ask for a shard now, or soon, or take it as lost when nothing is left to try."""
+        """Request a shard now, hold it back, or give it up if there is nothing left to try."""
         if now >= self._plan.end_at:
             return None
         asked = self._ask(name, reason, now)
         if isinstance(asked, SendPart):
             return asked
         in_time = now < self._plan.answer_at
-        # Peers that may not ask a target now may in a while; each look costs a message.
+        # Peers that declined may be able to ask a target later, but each retry costs a message.
         retry_at = self._retry_at(in_time and reason != DECLINED, now)
         self._schedule_retry(name, asked, in_time, retry_at, now)
         return None
 
     def hold_back(self, name: str, now: float) -> None:
-        """Ask nobody for a shard now, and look at it again soon."""
+        """Hold a shard back until its next retry."""
         self._shards.hold_back(name, self._retry_at(now < self._plan.answer_at, now))
 
     def _retry_at(self, soon: bool, now: float) -> float:
-        """Return when a shard that may not be asked for now is looked at again."""
+        """Return the time of the next retry of a shard that cannot be requested now."""
         paces = RETRY_DELAY_RESPONSE_TIMES if soon else LATE_RETRY_DELAY_RESPONSE_TIMES
         return now + paces * self._board.usual_s(self._plan.route, far=False)
 
     def pop_ended(self, token: int) -> str | None:
-        """Return the shard of a request that ended; None when it was withdrawn."""
+        """Return the shard of a request that ended; None if the request was withdrawn."""
         return self._shard_name_by_token.pop(token, None)
 
     def withdraw(self, shard: Shard) -> list[CancelPart]:
-        """Await no target any more for a shard."""
+        """Withdraw all unanswered requests for a shard."""
         commands: list[CancelPart] = []
         for token, target in shard.attempts.target_by_token.items():
             self._shard_name_by_token.pop(token, None)
@@ -71,7 +71,7 @@
     def _schedule_retry(
         self, name: str, refusal: Refusal, in_time: bool, retry_at: float, now: float
     ) -> None:
-        """Look at a shard again at a time, or take it as lost."""
+        """Schedule the next retry of a shard, or give it up."""
         shard = self._shards[name]
         if shard.waits:
             if refusal is Refusal.NOT_NOW and in_time:
@@ -79,23 +79,23 @@
         elif refusal is Refusal.NOT_NOW and not self._plan.repeat:
             self._shards.hold_back(name, retry_at)
         elif refusal is Refusal.DOWN and in_time and not self._plan.repeat:
-            # A target that is back before the aim still serves in time; later nobody gains.
+            # A target that returns before the target latency can still answer in time.
             self._shards.hold_back(name, max(retry_at, shard.attempts.rests_until))
         else:
             self._shards.lose([name])
             shard.last_failure = shard.last_failure or self._no_target_reason(name, now)
 
     def _no_target_reason(self, name: str, now: float) -> str:
-        """Return why no target may be asked for a shard; nothing when some were."""
+        """Return why no target may be asked for a shard; empty if some were."""
         reason = self._board.no_target_reason(name, self._plan.route, now)
         return "" if reason is NoTargetReason.TRIED else reason.value
 
     def _is_needed(self, name: str) -> bool:
-        """Return whether the answer fails without a shard, since too many others lack."""
+        """Return whether the answer fails without a shard because too many others are missing."""
         return self._shards.left_out_besides(name) >= self._shards.spare - self._groups.spare
 
     def _ask(self, name: str, reason: str, now: float) -> SendPart | Refusal:
-        """Return the request to one more target, or why there is none."""
+        """Return the request to one more target, or why none may be sent."""
         shard = self._shards[name]
         choices = shard.attempts.choose(
             self._board, self._budget, self._plan.route, now, self._is_needed(name)
--- a/trackwheel/relay/startup_queue.py
+++ b/trackwheel/relay/startup_queue.py
@@ -1,4 +1,4 @@
-"""Requests that come to a box before it knows any configuration."""
+"""Requests that arrive at a box before it has a configuration."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,9 +18,9 @@
 
 
 class StartupQueue:
-    """Hold requests for the moment in which a box that starts reads its configuration.
+    """Holds requests while a starting box reads its configuration.
 
-    A client that is refused comes back later than its answer would have come.
+    A client that is refused retries later than it would have been answered.
     """
 
     def __init__(self, handle: RequestHandler, refuse: RequestHandler) -> None:
@@ -29,7 +29,7 @@
         self._waiting_by_exchange: dict[Exchange, _Waiting] = {}
 
     def add(self, request: Request, exchange: Exchange) -> None:
-        """Hold a request; refuse it when nothing is known in time, or when too many wait."""
+        """Hold a request; refuse it on time-out, or at once if too many are waiting."""
         if len(self._waiting_by_exchange) >= STARTUP_MAX_WAITING:
             self._refuse(request, exchange)
             return
@@ -38,7 +38,7 @@
         self._waiting_by_exchange[exchange] = _Waiting(request, timer)
 
     def release(self) -> None:
-        """Handle what waits, now that a configuration is known."""
+        """Handle all waiting requests, now that a configuration is known."""
         for exchange in list(self._waiting_by_exchange):
             self._handle(self._remove(exchange), exchange)
 
--- a/trackwheel/relay/timer.py
+++ b/trackwheel/relay/timer.py
@@ -1,4 +1,4 @@
-"""A timer that may be moved."""
+"""A timer that can be rescheduled."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,19 +7,19 @@
 from trackwheel.clock import steady_now
 
 MAX_SLEEP_S: Final = 0.5
-"""A timer looks at the time at least so often. Those of the event loop stand still while the box is
-suspended: without a look a request would be held on for as long as the box was away."""
+"""Longest interval between two checks of the clock. The event loop's timers do not advance while
+the box is suspended: without checks, a request would be held for as long as the suspension."""
 
 
 class Timer:
-    """Call an action at a time that may be moved."""
+    """Calls an action at a time that can be changed."""
 
     def __init__(self, action: Callable[[], None]) -> None:
         self._action = action
         self._handle: asyncio.TimerHandle | None = None
 
     def set(self, at: float) -> None:
-        """Call the action at a time (steady seconds), instead of any earlier setting."""
+        """Schedule the action for `at` (steady seconds), replacing any earlier schedule."""
         self.stop()
         delay_s = max(0.0, at - steady_now())
         loop = asyncio.get_running_loop()
@@ -29,7 +29,7 @@
             self._handle = loop.call_later(delay_s, self._action)
 
     def stop(self) -> None:
-        """Call the action no more."""
+        """Cancel the scheduled action."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -1,4 +1,4 @@
-"""The shell between decisions and targets: pools of connections by target."""
+"""Sends requests to targets over a connection pool for each of them."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -13,34 +13,34 @@
 from trackwheel.units import MILLISECONDS
 
 DEFAULT_CONNECTIONS = 8
-"""Connections to a target of a service that the configuration does not name."""
+"""Connections of each box to a target of a service that the configuration does not name."""
 CONNECTION_SHARE = 0.9
-"""Part of a target's connections that the boxes use together; the rest is for health checks."""
+"""Share of a target's connections that all boxes use together; the rest is for health checks."""
 MIN_CONNECTIONS = 2
-"""Connections that a box may have to a target in any case."""
+"""Connections that a box may always open to a target."""
 
 _OUTCOME_BY_KIND: Final = {
     EndKind.NOT_SENT: Outcome.NOT_SENT,
     EndKind.CLOSED: Outcome.CLOSED,
     EndKind.BROKEN: Outcome.BROKEN,
 }
-"""How a request ended without an answer."""
+"""Outcomes of requests that ended without an answer."""
 
 OnTargetEnd = Callable[[TargetEnd], None]
 
 OnWithdrawn = Callable[[bytes, Target], None]
-"""Take the fingerprint of a request that was taken back from a target."""
+"""Receives the fingerprint of a request that was withdrawn from a target."""
 
 
 class Clock(Protocol):
-    """Give the steady time."""
+    """Source of the steady time."""
 
     def __call__(self) -> float:
         """Return monotonic seconds."""
 
 
 class TargetAttempt(NamedTuple):
-    """One request for one target."""
+    """One request to one target; `once` tells that it must not be run twice."""
 
     token: object
     request: CallerRequest
@@ -52,11 +52,11 @@
 
 
 OnAttemptEnd = Callable[[TargetAttempt, Outcome, float], None]
-"""Take how a request to a target ended that was sent at a time (monotonic seconds)."""
+"""Receives the outcome of an attempt and the time at which it was sent (monotonic seconds)."""
 
 
 class TargetTransport:
-    """Send requests to targets and keep the board informed."""
+    """Sends requests to targets and reports their outcomes to the selector."""
 
     def __init__(self, wire: Wire, board: TargetSelector, clock: Clock, log: EventLog) -> None:
         self._wire = wire
@@ -72,20 +72,20 @@
         self._on_withdrawn: list[OnWithdrawn] = []
 
     def on_attempt_end(self, handler: OnAttemptEnd) -> None:
-        """Call a handler with how each request ended that was not withdrawn."""
+        """Call a handler with the outcome of each attempt that was not withdrawn."""
         self._on_attempt_end.append(handler)
 
     def on_withdrawn(self, handler: OnWithdrawn) -> None:
-        """Call a handler with each request that was sent and taken back before its answer."""
+        """Call a handler for each request that was sent and withdrawn before its answer."""
         self._on_withdrawn.append(handler)
 
     def set_limits(self, connections_by_service: dict[str, int], members: int) -> None:
-        """Take how many connections the targets of each service take from all boxes."""
+        """Set how many connections each service's targets accept from all boxes together."""
         self._limit_by_service = connections_by_service
         self._members = max(1, members)
 
     def close_unknown(self, lives: set[Life]) -> None:
-        """Close the idle connections of targets that are gone."""
+        """Close the idle connections to all other targets."""
         for life in [known for known in self._pool_by_life if known not in lives]:
             pool = self._pool_by_life[life]
             pool.close()
@@ -93,12 +93,12 @@
                 del self._pool_by_life[life]
 
     def refuse_waiting(self, lives: set[Life]) -> None:
-        """Send nothing more that waits for a connection to targets that get no new work."""
+        """Refuse requests that wait for a connection to targets that get no new work."""
         for life in lives & self._pool_by_life.keys():
             self._pool_by_life[life].refuse_waiting()
 
     def send(self, attempt: TargetAttempt, on_end: OnTargetEnd) -> None:
-        """Send a request; `on_end` is called once unless it is withdrawn."""
+        """Send a request; `on_end` is called once unless the request is withdrawn."""
         target, request = attempt.target, attempt.request
         sent_at = self._clock()
         self._board.sent(target, attempt.token, attempt.route, sent_at)
@@ -127,7 +127,7 @@
         )
 
     def withdraw(self, token: object, target: Target, fingerprint: bytes) -> None:
-        """Take a request back."""
+        """Withdraw a request."""
         self._board.withdrawn(target, token, self._clock())
         pool = self._pool_by_life.get(target.life)
         if pool is not None and pool.cancel(token):
@@ -141,7 +141,7 @@
         availability: TargetAvailability | None,
         sent_at: float,
     ) -> None:
-        """Write what failed at a target, and what is believed of the target from now on."""
+        """Log a failed attempt, and a change of the target's availability."""
         target = attempt.target
         if end.outcome is not Outcome.OK:
             self._log.write(
@@ -154,7 +154,8 @@
                 why_sent=attempt.reason,
             )
         if end.outcome is Outcome.CLOSED:
-            # A kind of its own: refused connections in their hundreds would use up its lines.
+            # An event of its own, since hundreds of refused connections would exhaust the line
+            # limit of target_failed.
             self._log.write(
                 "target_closed",
                 id=attempt.request.request_id,
