--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -47,7 +47,7 @@
 SHARDS = "tests/relay/test_gather.py::"
 HOMES = "tests/relay/test_homes.py::"
 COLD = "tests/relay/test_cold.py::"
-LIVES = "tests/relay/test_lives.py::"
+INCARNATIONS = "tests/relay/test_incarnations.py::"
 ENTRIES = "tests/platform/test_entries.py::"
 EVACUATED = "tests/directory/test_evacuations.py::"
 PARTS_IN = "tests/relay/test_parts.py::"
@@ -702,7 +702,7 @@
         PLATFORM,
         BUDGET,
         "a box asks targets in the place of another one that used its part",
-        REPEATS + "test_box_that_takes_the_place_of_another_waits_for_a_window",
+        REPEATS + "test_new_gatherer_has_no_share_for_a_window",
         Mutant(
             "trackwheel/relay/allowance_sharers.py",
             " or self._is_new(self._gathers_since, now)",
@@ -826,7 +826,7 @@
         PLATFORM,
         BUDGET,
         "1 to 60 boxes at three rates, every window",
-        REPEATS + "test_all_boxes_together_stay_within_the_rule",
+        REPEATS + "test_all_boxes_together_stay_within_the_limit",
         Mutant(
             "trackwheel/relay/budget.py",
             "return allowance / members",
@@ -837,7 +837,7 @@
         PLATFORM,
         BUDGET,
         "boxes are killed and come back, each thinking that it is alone",
-        REPEATS + "test_members_that_come_anew_fit_under_the_rule",
+        REPEATS + "test_restarted_boxes_stay_within_the_limit",
         Mutant(
             "trackwheel/relay/allowance_sharers.py",
             "0 if self._is_new(self._started_at, now) else ",
@@ -848,7 +848,7 @@
         PLATFORM,
         BUDGET,
         "a target's address was given to another service",
-        CHOICE + "test_target_whose_address_another_one_has_is_not_even_a_last_resort",
+        CHOICE + "test_target_replaced_at_its_address_gets_no_requests",
         Mutant(
             "trackwheel/relay/record.py",
             "self.ejected_until = self.gone_until = now + REPLACED_EJECT_S",
@@ -955,7 +955,7 @@
         PLATFORM,
         MEMBERSHIP,
         "a target dies; false, old and repeated news of it",
-        DOWN_REPORTS + "test_news_of_others",
+        DOWN_REPORTS + "test_reports_of_other_boxes",
         Mutant(
             "trackwheel/relay/target_selector.py",
             "if record.answered_at >= failed_at or record.told_down_until >= until:",
@@ -1116,7 +1116,7 @@
         PLATFORM,
         IN_HOMES,
         "targets in homes and outside, at the first choice",
-        HOMES + "test_choice_is_among_the_targets_of_the_homes",
+        HOMES + "test_only_targets_in_the_homes_are_ranked",
         Mutant(
             "trackwheel/relay/target_selector.py",
             "            if route.allows(target.place.region)\n            if self._may_ask",
@@ -1207,7 +1207,7 @@
         PLATFORM,
         COLD_BOUND,
         "two hundred requests a second from each of several boxes",
-        COLD + "test_all_boxes_together_keep_the_bound_in_every_second",
+        COLD + "test_all_boxes_together_keep_the_limit_in_every_second",
         Mutant(
             "trackwheel/relay/cold.py",
             "return len(self._recent_sends(target, now)) < self.share(target, now)",
@@ -1218,7 +1218,7 @@
         PLATFORM,
         COLD_BOUND,
         "all cuts of up to eight boxes in two, with all views that each half may have",
-        COLD + "test_two_views_of_the_fleet_keep_the_bound_together",
+        COLD + "test_partitioned_fleet_keeps_the_limit",
         Mutant(
             "trackwheel/relay/cold.py", "MAX_FLEET_VIEWS: Final = 2", "MAX_FLEET_VIEWS: Final = 1"
         ),
@@ -1227,7 +1227,7 @@
         PLATFORM,
         COLD_BOUND,
         "boxes restart or take over four times in a row",
-        COLD + "test_boxes_that_begin_have_no_part_while_those_before_may_have_used_it",
+        COLD + "test_new_gatherers_have_no_share_while_earlier_ones_may_have_used_it",
         Mutant(
             "trackwheel/relay/allowance_sharers.py",
             "return now - since < self._window_s",
@@ -1238,7 +1238,7 @@
         PLATFORM,
         COLD_BOUND,
         "an evacuation is taken back, and targets started anew in it",
-        COLD + "test_targets_whose_evacuation_was_taken_back_are_thought_cold",
+        COLD + "test_targets_are_cold_after_an_evacuation_ends",
         Mutant(
             "trackwheel/relay/target_selector.py",
             "            self._assume_returned_cold(chain.from_iterable(before.values()), now)\n",
@@ -1260,7 +1260,7 @@
         PLATFORM,
         ONE_LIFE,
         "a target fails in each way and starts again under its name",
-        LIVES + "test_failures_of_the_earlier_life_end_with_it",
+        INCARNATIONS + "test_failures_of_an_earlier_incarnation_do_not_count",
         Mutant(
             "trackwheel/relay/models.py",
             "return self.instance, self.born_ms",
@@ -1271,13 +1271,13 @@
         PLATFORM,
         ONE_LIFE,
         "entries of two lives in any order",
-        LIVES + "test_newest_life_is_known_in_any_order_of_news",
+        INCARNATIONS + "test_newest_incarnation_wins_in_any_order_of_updates",
     ),
     Row(
         PLATFORM,
         ONE_LIFE,
         "news of the earlier life, before and after the new entry",
-        LIVES + "test_news_of_the_earlier_life_say_nothing_of_the_new_one",
+        INCARNATIONS + "test_reports_on_an_earlier_incarnation_do_not_affect_the_new_one",
         Mutant(
             "trackwheel/relay/down_reports.py",
             "return self.instance, self.born_ms",
--- a/tests/relay/test_homes.py
+++ b/tests/relay/test_homes.py
@@ -1,8 +1,8 @@
-"""Routes with homes: no target and no peer outside them, whatever is late, lost or refused.
+"""Routes with homes never use targets or peers outside these regions.
 
-The load: a fleet over three regions, shards with targets in each of them, and a route that one
-region, or two, may serve. Each way of a request is taken: the first choice, groups for peers, the
-second target, a peer that declines, and a region without a living target.
+The fleet spans three regions, shards have targets in each of them, and one or two regions may serve
+the route. All paths of a request are covered: the first choice, groups for peers, the second
+target, a peer that declines, and a region without a live target.
 """
 
 import pytest
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("homes", HOMES, ids=sorted)
-def test_choice_is_among_the_targets_of_the_homes(homes: frozenset[str]) -> None:
+def test_only_targets_in_the_homes_are_ranked(homes: frozenset[str]) -> None:
     board = make_board()
     choices = board.rank("s0", homed(homes), 0.0)
     assert {choice.target.place.region for choice in choices} == homes
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("homes", HOMES, ids=sorted)
-@pytest.mark.parametrize("gathers", [True, False], ids=["gathers", "leaves-it-to-others"])
+@pytest.mark.parametrize("gathers", [True, False], ids=["gathers", "not-a-gatherer"])
 def test_no_group_goes_outside_the_homes(homes: frozenset[str], gathers: bool) -> None:
     planner = make_planner(make_board(), gathers)
     groups = planner.first_groups(SHARDS, homed(homes), 0.19, 0.0)
@@ -88,7 +88,7 @@
     "outcome", [Outcome.NOT_RUN, Outcome.FAILED, Outcome.NOT_SENT, Outcome.ELSEWHERE]
 )
 def test_whole_query_keeps_to_the_homes(homes: frozenset[str], outcome: Outcome) -> None:
-    """Every send fails, every peer is silent: nothing is left to try but what is outside."""
+    """Every request fails and no peer responds, so that only targets outside are left to try."""
     board = make_board()
     planner = make_planner(board)
     route = homed(homes)
@@ -161,7 +161,7 @@
     assert sent.target.place == THERE
 
 
-def test_peer_is_told_the_homes() -> None:
+def test_homes_are_sent_to_peers() -> None:
     codec = Codec(RELAY_MESSAGES)
     forward = GroupForward(
         "1", "id", "h", "/", b"GET", b"/", [], b"", "r", ["s0"], 3, 1, 1.0, 1.0, 1.0, 1.0, False,
--- a/tests/relay/test_lives.py
+++ b/tests/relay/test_incarnations.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("outcome", [o for o in Outcome if o is not Outcome.OK])
-def test_failures_of_the_earlier_life_end_with_it(outcome: Outcome) -> None:
+def test_failures_of_an_earlier_incarnation_do_not_count(outcome: Outcome) -> None:
     board = make_board()
     fail(board, outcome)
     board.set_targets({"s": (SECOND,)}, 0.02)
@@ -43,7 +43,7 @@
     assert choice.expected_s == pytest.approx(choice.usual_s)
 
 
-def test_answer_of_the_earlier_life_that_comes_late_says_nothing_of_the_new_one() -> None:
+def test_late_answer_of_an_earlier_incarnation_does_not_affect_the_new_one() -> None:
     board = make_board()
     board.sent(FIRST, "old", ROUTE, 0.0)
     board.set_targets({"s": (SECOND,)}, 0.02)
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("known_first", [True, False], ids=["entry-first", "reports-first"])
-def test_news_of_the_earlier_life_say_nothing_of_the_new_one(known_first: bool) -> None:
+def test_reports_on_an_earlier_incarnation_do_not_affect_the_new_one(known_first: bool) -> None:
     board = make_board()
     reports = DownReports(board)
     if known_first:
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(4))), ids=str)
-def test_newest_life_is_known_in_any_order_of_news(order: tuple[int, ...]) -> None:
+def test_newest_incarnation_wins_in_any_order_of_updates(order: tuple[int, ...]) -> None:
     directory = TargetDirectory({"a": "here"})
     for place in order:
         directory.take(STEPS[place], 0.0)
@@ -91,8 +91,8 @@
     assert found.cold_until >= 2.0
 
 
-def test_life_that_follows_without_a_gap_is_news_for_peers() -> None:
-    """The store saw no lapse: only `born` says that the target started again."""
+def test_restart_without_a_lapse_is_sent_to_peers() -> None:
+    """The store's entry did not lapse: only `born` shows that the target restarted."""
     directory = TargetDirectory({"a": "here"})
     directory.take(TargetsRead(None, [entry(1_000, 4)], [], 4), 0.0)
     assert directory.take(TargetsRead(4, [entry(9_000, 5)], [], 5), 1.0)
@@ -104,7 +104,7 @@
     [(0.0, False), (1.9, False), (2.3, False), (3.0, True)],
     ids=["warm", "counts-down", "a-late-heartbeat", "cold-again"],
 )
-def test_target_that_turns_cold_again_is_news(cold_s: float, is_news: bool) -> None:
+def test_target_that_becomes_cold_again_is_a_change(cold_s: float, is_news: bool) -> None:
     directory = TargetDirectory({"a": "here"})
     directory.take(TargetsRead(None, [entry(1_000, 4, cold_s=3.0)], [], 4), 0.0)
     assert directory.take(TargetsRead(4, [entry(1_000, 5, cold_s)], [], 5), 1.0) is is_news
--- a/tests/relay/test_outbound_groups.py
+++ b/tests/relay/test_outbound_groups.py
@@ -1,4 +1,4 @@
-"""Messages between boxes about groups of shards, against a hub that only notes them."""
+"""Messages of peers about groups of shards, with a hub that only records handlers."""
 
 from collections.abc import Callable
 from types import SimpleNamespace
@@ -20,7 +20,7 @@
 
 
 class FakeHub:
-    """Note who takes which message."""
+    """Records the handler of each message type."""
 
     def __init__(self) -> None:
         self.handler_by_type: dict[type[Any], Callable[[PeerIdentity, Any], None]] = {}
@@ -47,10 +47,10 @@
         pytest.param(GroupDeclined("0", [7]), id="declined-out-of-range"),
     ],
 )
-def test_message_about_other_shards_is_passed_over(
+def test_message_about_other_shards_is_rejected(
     board: TargetSelector, budget: RetryBudget, message: GroupParts | GroupDeclined
 ) -> None:
-    """It once ended the task of the link, and with it everything between the two boxes."""
+    """Without the check it ended the link's task, and so all traffic between the two boxes."""
     events: list[str] = []
     log = SimpleNamespace(write=lambda kind, **fields: events.append(kind))
     hub = FakeHub()
--- a/tests/relay/test_policy_model.py
+++ b/tests/relay/test_policy_model.py
@@ -1,6 +1,6 @@
-"""Golden figures of the policy model: what a change of a decision does to named loads.
+"""Golden figures of the policy model: the effect of decisions on the scenarios of bench/policy.py.
 
-Figures that a change moves on purpose are written anew, with the reason in its commit.
+A change that alters figures on purpose updates them and gives the reason in its commit.
 """
 
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 
 
 class Ended(NamedTuple):
-    """How the queries of one kind ended, and how many shards their answers lacked."""
+    """Outcomes of the queries of one kind, and the number of shards missing in their answers."""
 
     asked: int
     in_time: int
@@ -54,7 +54,7 @@
         ),
     ],
 )
-def test_named_loads_end_as_before(
+def test_scenarios_end_as_before(
     scenario: Scenario, variant: Variant, sweep: Ended, urgent: Ended
 ) -> None:
     tallies = play(scenario, variant, SEED, SECONDS)
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -1,4 +1,4 @@
-"""What the relay answers, and writes, before it knows any configuration."""
+"""Responses and log lines of the relay before it has a configuration."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 class Fixture:
-    """A relay without a configuration, a client of it, and what both have seen."""
+    """A relay without a configuration, its log events and its responses."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, dict[str, Any]]] = []
@@ -39,7 +39,7 @@
 
 
 class ClientExchange:
-    """Note the answer of one request."""
+    """Records the response to one request."""
 
     def __init__(self, answers: list[Response]) -> None:
         self.respond = answers.append
@@ -47,7 +47,7 @@
 
 
 def test_request_before_any_configuration_is_refused_soon_and_logged() -> None:
-    """It once was refused without a line, so that nobody could find its cause."""
+    """Without the log line, nobody could find the cause of the refusal."""
     fixture = Fixture()
 
     async def scenario() -> None:
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("leaves", [False, True], ids=["waits", "leaves"])
 def test_request_that_waits_is_served_by_the_first_configuration(leaves: bool) -> None:
-    """Thirty-five of three thousand requests came back late after a start of the whole fleet."""
+    """Without the wait, 35 of 3,100 requests were retried late after a start of the fleet."""
     fixture = Fixture()
 
     async def scenario() -> None:
@@ -84,7 +84,9 @@
     assert [answer.status for answer in fixture.answers] == ([] if leaves else [404])
 
 
-def test_too_many_that_wait_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_beyond_the_queue_limit_are_refused_at_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("trackwheel.relay.startup_queue.STARTUP_MAX_WAITING", 1)
     fixture = Fixture()
 
--- a/tests/relay/test_target_selector.py
+++ b/tests/relay/test_target_selector.py
@@ -1,4 +1,4 @@
-"""The choice among targets, from what their answers have shown."""
+"""Ranking of targets by the outcomes and response times of earlier requests."""
 
 import pytest
 
@@ -17,71 +17,71 @@
     return board
 
 
-def answer(
-    board: TargetSelector, who: Target, now: float, took_s: float, load: Load | None = None
+def record_answer(
+    board: TargetSelector, receiver: Target, now: float, took_s: float, load: Load | None = None
 ) -> None:
     token = object()
-    board.sent(who, token, ROUTE, now)
-    board.ended(who, token, Outcome.OK, load, now + took_s)
+    board.sent(receiver, token, ROUTE, now)
+    board.ended(receiver, token, Outcome.OK, load, now + took_s)
 
 
-def fail(board: TargetSelector, who: Target, now: float, outcome: Outcome) -> None:
+def record_failure(board: TargetSelector, receiver: Target, now: float, outcome: Outcome) -> None:
     token = object()
-    board.sent(who, token, ROUTE, now)
-    board.ended(who, token, outcome, None, now)
+    board.sent(receiver, token, ROUTE, now)
+    board.ended(receiver, token, outcome, None, now)
 
 
-def warm(board: TargetSelector, *targets: Target) -> None:
+def record_answers(board: TargetSelector, *targets: Target) -> None:
     for number in range(30):
-        for who in targets:
-            answer(board, who, number * 0.1, 0.02)
+        for receiver in targets:
+            record_answer(board, receiver, number * 0.1, 0.02)
 
 
-def names(board: TargetSelector, now: float) -> list[str]:
+def ranking(board: TargetSelector, now: float) -> list[str]:
     return [choice.target.instance for choice in board.rank("s", ROUTE, now)]
 
 
 def test_near_target_comes_first() -> None:
     board = make_board(FAR, NEAR)
-    warm(board, FAR, NEAR)
-    assert names(board, 4.0) == ["near", "far"]
+    record_answers(board, FAR, NEAR)
+    assert ranking(board, 4.0) == ["near", "far"]
 
 
-def test_one_pause_does_not_send_work_away() -> None:
+def test_single_pause_does_not_divert_work() -> None:
     board = make_board(NEAR, FAR)
-    warm(board, NEAR, FAR)
-    answer(board, NEAR, 4.0, 0.27)
-    answer(board, NEAR, 4.3, 0.02)
-    assert names(board, 4.35)[0] == "near"
+    record_answers(board, NEAR, FAR)
+    record_answer(board, NEAR, 4.0, 0.27)
+    record_answer(board, NEAR, 4.3, 0.02)
+    assert ranking(board, 4.35)[0] == "near"
 
 
-def test_slow_target_is_left_and_tried_again() -> None:
+def test_slow_target_is_avoided_and_tried_again() -> None:
     board = make_board(NEAR, FAR)
-    warm(board, NEAR, FAR)
+    record_answers(board, NEAR, FAR)
     for number in range(4):
-        answer(board, NEAR, 4.0 + number * 0.2, 0.18)
-    assert names(board, 4.9)[0] == "far"
-    assert names(board, 12.0)[0] == "near"
+        record_answer(board, NEAR, 4.0 + number * 0.2, 0.18)
+    assert ranking(board, 4.9)[0] == "far"
+    assert ranking(board, 12.0)[0] == "near"
 
 
-def test_stalled_target_is_left_before_its_answer_comes() -> None:
+def test_stalled_target_is_avoided_before_it_answers() -> None:
     board = make_board(NEAR, FAR)
-    warm(board, NEAR, FAR)
+    record_answers(board, NEAR, FAR)
     board.sent(NEAR, object(), ROUTE, 4.0)
-    assert names(board, 4.01)[0] == "near"
-    assert names(board, 4.15)[0] == "far"
+    assert ranking(board, 4.01)[0] == "near"
+    assert ranking(board, 4.15)[0] == "far"
 
 
-def test_told_load_counts_while_it_is_fresh() -> None:
+def test_reported_load_counts_while_it_is_recent() -> None:
     board = make_board(NEAR, FAR)
-    warm(board, NEAR, FAR)
-    answer(board, NEAR, 4.0, 0.02, Load(2, 10, 2))
-    assert names(board, 4.05)[0] == "far"
-    assert names(board, 5.0)[0] == "near"
+    record_answers(board, NEAR, FAR)
+    record_answer(board, NEAR, 4.0, 0.02, Load(2, 10, 2))
+    assert ranking(board, 4.05)[0] == "far"
+    assert ranking(board, 5.0)[0] == "near"
 
 
 @pytest.mark.parametrize(
-    ("outcome", "failures", "left"),
+    ("outcome", "failures", "last_resort"),
     [
         pytest.param(Outcome.NOT_SENT, 1, True, id="no-connection-at-once"),
         pytest.param(Outcome.FAILED, 1, False, id="one-failure"),
@@ -90,13 +90,15 @@
         pytest.param(Outcome.NOT_RUN, 8, False, id="shedding-is-no-fault"),
     ],
 )
-def test_failing_target_is_a_last_resort(outcome: Outcome, failures: int, left: bool) -> None:
+def test_failing_target_is_a_last_resort(
+    outcome: Outcome, failures: int, last_resort: bool
+) -> None:
     board = make_board(NEAR)
-    warm(board, NEAR)
+    record_answers(board, NEAR)
     for _ in range(failures):
-        fail(board, NEAR, 4.0, outcome)
+        record_failure(board, NEAR, 4.0, outcome)
     (choice,) = board.rank("s", ROUTE, 4.01)
-    assert choice.last_resort is left
+    assert choice.last_resort is last_resort
     (later,) = board.rank("s", ROUTE, 4.01 + MAX_EJECT_S)
     assert not later.last_resort
 
@@ -109,30 +111,30 @@
         pytest.param([target("a", "s", doubtful=True), FAR], ["far", "a"], id="doubtful-last"),
     ],
 )
-def test_directory_decides_who_may_be_asked(targets: list[Target], expected: list[str]) -> None:
-    assert names(make_board(*targets), 0.0) == expected
+def test_directory_state_limits_the_ranking(targets: list[Target], expected: list[str]) -> None:
+    assert ranking(make_board(*targets), 0.0) == expected
 
 
-def test_cold_target_is_spared() -> None:
+def test_cold_target_ranks_behind_a_warm_one() -> None:
     cold = target("cold", "s")._replace(cold_until=5.0)
     board = make_board(cold, target("warm", "s"))
-    warm(board, cold, target("warm", "s"))
-    assert names(board, 4.0)[0] == "warm"
-    assert {names(board, 6.0)[0] for _ in range(20)} == {"cold", "warm"}
+    record_answers(board, cold, target("warm", "s"))
+    assert ranking(board, 4.0)[0] == "warm"
+    assert {ranking(board, 6.0)[0] for _ in range(20)} == {"cold", "warm"}
 
 
-def test_taken_back_request_tells_at_least_so_long() -> None:
+def test_age_of_a_withdrawn_request_counts_as_slowness() -> None:
     board = make_board(NEAR, FAR)
-    warm(board, NEAR, FAR)
+    record_answers(board, NEAR, FAR)
     for number in range(4):
         token = object()
         board.sent(NEAR, token, ROUTE, 4.0 + number * 0.2)
         board.withdrawn(NEAR, token, 4.18 + number * 0.2)
-    assert names(board, 4.9)[0] == "far"
+    assert ranking(board, 4.9)[0] == "far"
 
 
-def test_target_whose_address_another_one_has_is_not_even_a_last_resort() -> None:
-    """Each request there counts against the budget of the service that has the address now."""
+def test_target_replaced_at_its_address_gets_no_requests() -> None:
+    """A request to its address would be charged to the service that uses the address now."""
     board = TargetSelector(HERE, 1)
     gone, other = target("gone", "s"), target("other", "s")
     board.set_targets({"s": (gone, other)}, 0.0)
