--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -1,7 +1,8 @@
 """The real decisions of some boxes about queries over many shards, in virtual time.
 
-Each box has the product's own board, budget, planner and gathers; this module is their shell: links
-with delays, messages between boxes, a processor each. It knows nothing of membership and the store.
+Each box has the product's own selector, budget, planner and gathers; this module is their shell:
+links with delays, messages between boxes, a processor each. It knows nothing of membership and the
+store.
 """
 
 from collections.abc import Callable
@@ -93,12 +94,12 @@
         self.peer = peer
         self.place = peer.place
         self.processor = Processor(fleet.agenda, peer.speed)
-        self.board = TargetSelector(peer.place, seed)
+        self.selector = TargetSelector(peer.place, seed)
         self.budget = RetryBudget(RetryBudgetLimits(0.2, 10.0, fleet.extra), -100.0)
         self.links: set[str] = set()
         self.peer_tracker = PeerTracker(self.links.__contains__)
-        self.planner = GroupPlanner(peer.place, peer.address, self.board, self.peer_tracker)
-        self.reports = DownReports(self.board)
+        self.planner = GroupPlanner(peer.place, peer.address, self.selector, self.peer_tracker)
+        self.reports = DownReports(self.selector)
         self.told: tuple[str, ...] = ()
 
     def tell(self, address: str, action: Callable[["ModelBox"], None]) -> None:
@@ -125,7 +126,7 @@
         way_s = delay_s(self.place, who.place)
         server = self.fleet.target_by_instance[who.instance]
         sent_at = agenda.now
-        self.board.sent(who, key, run.gather.plan.route, agenda.now)
+        self.selector.sent(who, key, run.gather.plan.route, agenda.now)
 
         def ended(outcome: Outcome, load: Load | None) -> None:
             agenda.at(
@@ -153,7 +154,7 @@
         if token not in run.tokens:
             return
         now = self.fleet.agenda.now
-        self.board.ended(who, (run, token), outcome, load, now)
+        self.selector.ended(who, (run, token), outcome, load, now)
         news = self.reports.request_ended(who, outcome, sent_at, now)
         if news is not None and self.fleet.tells_news:
             for address in self.told:
@@ -214,7 +215,7 @@
             case CancelPart(token, who):
                 del self.tokens[token]
                 key = (self, token)
-                self.box.board.withdrawn(who, key, self.box.fleet.agenda.now)
+                self.box.selector.withdrawn(who, key, self.box.fleet.agenda.now)
                 self.box.fleet.target_by_instance[who.instance].withdraw(key)
             case SendGroup(number, group):
                 self.groups[number] = TakenGroup(self, command)
@@ -261,7 +262,7 @@
         self._run = GatherRun(
             box,
             self._sender.kind,
-            Gather(part, box.board, box.budget),
+            Gather(part, box.selector, box.budget),
             lambda end: self._report(True),
         )
         self._run.on_part = self._part_came
@@ -372,7 +373,7 @@
         for box in self.box_by_address.values():
             own = box.peer.address
             others = tuple(peer for peer in asking if peer.address != own)
-            box.board.set_targets(targets, 0.0)
+            box.selector.set_targets(targets, 0.0)
             box.planner.set_peers(others, own in gatherers)
             box.budget.set_members(len(boxes), -50.0)
             box.budget.set_gatherers(
@@ -392,7 +393,7 @@
             for shard, found in self._targets.items()
         }
         for box in self.box_by_address.values():
-            box.board.set_targets(barred, self.agenda.now)
+            box.selector.set_targets(barred, self.agenda.now)
 
     def play(self, kinds: list[Kind], seconds: float) -> dict[str, Tally]:
         """Let callers come for some seconds and return how their queries ended."""
@@ -422,7 +423,7 @@
             False,
         )
         tally.asked += 1
-        gather = Gather(plan, box.board, box.budget, box.planner)
+        gather = Gather(plan, box.selector, box.budget, box.planner)
 
         def ended(end: Gathered | GatherFailed) -> None:
             _count(tally, end, self.agenda.now <= now + kind.aim_s - RETURN_S / 2, len(self.shards))
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -35,10 +35,10 @@
 
 
 @pytest.fixture
-def board() -> TargetSelector:
-    """Return a board with shards s0 to s9, each with a target here and one there."""
-    board = TargetSelector(HERE, seed=1)
-    board.set_targets(
+def selector() -> TargetSelector:
+    """Return a selector with shards s0 to s9, each with a target here and one there."""
+    selector = TargetSelector(HERE, seed=1)
+    selector.set_targets(
         {
             f"s{number}": (target(f"s{number}-near", f"s{number}"),)
             + (target(f"s{number}-far", f"s{number}", THERE),)
@@ -46,7 +46,7 @@
         },
         0.0,
     )
-    return board
+    return selector
 
 
 @pytest.fixture
--- a/tests/relay/test_cold.py
+++ b/tests/relay/test_cold.py
@@ -130,10 +130,10 @@
     assert limiter.share(cold_target()._replace(place=place), 0.0) == share  # type: ignore[arg-type]
 
 
-def make_board(limiter: ColdTargetLimiter, *targets: Target) -> TargetSelector:
-    board = TargetSelector(HERE, 1, limiter)
-    board.set_targets({SERVICE: targets}, 0.0)
-    return board
+def make_selector(limiter: ColdTargetLimiter, *targets: Target) -> TargetSelector:
+    selector = TargetSelector(HERE, 1, limiter)
+    selector.set_targets({SERVICE: targets}, 0.0)
+    return selector
 
 
 def budget() -> RetryBudget:
@@ -142,82 +142,82 @@
     return found
 
 
-def ask(board: TargetSelector, now: float) -> Target | None:
+def ask(selector: TargetSelector, now: float) -> Target | None:
     """Send one request to the best target and record its answer."""
-    choices = board.rank(SERVICE, ROUTE, now)
+    choices = selector.rank(SERVICE, ROUTE, now)
     if not choices:
         return None
     chosen = choices[0].target
-    board.sent(chosen, now, ROUTE, now)
-    board.ended(chosen, now, Outcome.OK, None, now + 0.001)
+    selector.sent(chosen, now, ROUTE, now)
+    selector.ended(chosen, now, Outcome.OK, None, now + 0.001)
     return chosen
 
 
 def test_requests_above_the_limit_go_to_warm_targets() -> None:
     warm = target("w", SERVICE)
-    board = make_board(make_limiter(2.0), cold_target("c"), warm)
-    asked = [ask(board, step * 0.002) for step in range(400)]
+    selector = make_selector(make_limiter(2.0), cold_target("c"), warm)
+    asked = [ask(selector, step * 0.002) for step in range(400)]
     assert None not in asked
     assert sum(one is not None and one.instance == "c" for one in asked) <= limit(2.0)
 
 
 def test_limit_ends_with_the_cold_time() -> None:
-    board = make_board(make_limiter(2.0), cold_target(until=1.0))
-    assert sum(ask(board, 0.5 + step * 0.001) is not None for step in range(100)) == 4
-    assert all(ask(board, 1.0 + step * 0.001) for step in range(100))
+    selector = make_selector(make_limiter(2.0), cold_target(until=1.0))
+    assert sum(ask(selector, 0.5 + step * 0.001) is not None for step in range(100)) == 4
+    assert all(ask(selector, 1.0 + step * 0.001) for step in range(100))
 
 
 def test_target_that_becomes_cold_again_is_limited_once_it_reports_so() -> None:
     one = target("t", SERVICE)
-    board = make_board(make_limiter(2.0), one)
-    board.sent(one, "x", ROUTE, 0.0)
-    board.ended(one, "x", Outcome.OK, None, 0.01, cold_s=2.0)
-    assert sum(ask(board, 0.02 + step * 0.001) is not None for step in range(500)) <= 3
-    assert ask(board, 2.02) is not None
+    selector = make_selector(make_limiter(2.0), one)
+    selector.sent(one, "x", ROUTE, 0.0)
+    selector.ended(one, "x", Outcome.OK, None, 0.01, cold_s=2.0)
+    assert sum(ask(selector, 0.02 + step * 0.001) is not None for step in range(500)) <= 3
+    assert ask(selector, 2.02) is not None
 
 
 def test_cold_targets_without_a_limit_are_not_limited() -> None:
-    board = make_board(make_limiter(0.0), cold_target())
-    assert all(ask(board, step * 0.001) for step in range(100))
+    selector = make_selector(make_limiter(0.0), cold_target())
+    assert all(ask(selector, step * 0.001) for step in range(100))
 
 
 def test_targets_are_cold_after_an_evacuation_ends() -> None:
     """They may have restarted during it, and report that only with their next heartbeat."""
     one = target("t", SERVICE)
-    board = make_board(make_limiter(2.0), one._replace(barred=True))
-    assert ask(board, 0.0) is None
-    board.set_targets({SERVICE: (one,)}, 1.0)
-    assert sum(ask(board, 1.0 + step * 0.001) is not None for step in range(500)) == 4
-    assert all(ask(board, 1.0 + COLD_S + step * 0.001) for step in range(50))
+    selector = make_selector(make_limiter(2.0), one._replace(barred=True))
+    assert ask(selector, 0.0) is None
+    selector.set_targets({SERVICE: (one,)}, 1.0)
+    assert sum(ask(selector, 1.0 + step * 0.001) is not None for step in range(500)) == 4
+    assert all(ask(selector, 1.0 + COLD_S + step * 0.001) for step in range(50))
 
 
 def test_request_that_no_target_can_take_is_refused_with_a_retry_time() -> None:
-    board = make_board(make_limiter(2.0, boxes=60, shard=False), cold_target(until=2.5))
-    single = Single(SinglePlan(ROUTE, SERVICE, True, 2, 0.19, 3.0), board, budget())
+    selector = make_selector(make_limiter(2.0, boxes=60, shard=False), cold_target(until=2.5))
+    single = Single(SinglePlan(ROUTE, SERVICE, True, 2, 0.19, 3.0), selector, budget())
     assert single.start(1.0) == [SingleFailed(False, False, NoTargetReason.COLD.value)]
-    assert board.warm_in_s(SERVICE, ROUTE, 1.0) == pytest.approx(1.5)
+    assert selector.warm_in_s(SERVICE, ROUTE, 1.0) == pytest.approx(1.5)
 
 
 def test_no_retry_time_is_given_if_one_target_is_warm() -> None:
     """A refusal for another reason, such as a warm target that sheds load, ends sooner."""
-    board = make_board(make_limiter(2.0), cold_target("c", until=2.5), target("w", SERVICE))
-    assert board.warm_in_s(SERVICE, ROUTE, 1.0) == 0.0
+    selector = make_selector(make_limiter(2.0), cold_target("c", until=2.5), target("w", SERVICE))
+    assert selector.warm_in_s(SERVICE, ROUTE, 1.0) == 0.0
 
 
 def test_request_goes_to_a_cold_target_within_its_limit() -> None:
-    board = make_board(make_limiter(2.0, shard=False), cold_target())
-    (sent,) = Single(SinglePlan(ROUTE, SERVICE, True, 2, 0.19, 3.0), board, budget()).start(1.0)
+    selector = make_selector(make_limiter(2.0, shard=False), cold_target())
+    (sent,) = Single(SinglePlan(ROUTE, SERVICE, True, 2, 0.19, 3.0), selector, budget()).start(1.0)
     assert isinstance(sent, SendSingle)
 
 
 def test_shard_above_the_limit_of_its_cold_targets_is_held_back() -> None:
     """They accept the next request within a second, so the query is not given up."""
     limiter = make_limiter(2.0)
-    board = make_board(limiter, cold_target())
+    selector = make_selector(limiter, cold_target())
     for _ in range(limiter.share(cold_target(), 0.0)):
-        assert ask(board, 0.5) is not None
+        assert ask(selector, 0.5) is not None
     plan = GatherPlan(ROUTE, (SERVICE,), 3, (), 1.0, 2, 0.7, 3.0, False)
-    gather = Gather(plan, board, budget())
+    gather = Gather(plan, selector, budget())
     assert gather.start(0.52) == []
     asked: list[SendPart] = []
     now = 0.52
--- a/tests/relay/test_crashing_query.py
+++ b/tests/relay/test_crashing_query.py
@@ -27,9 +27,9 @@
 
 
 def test_second_targets_are_spared_while_nothing_has_answered(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget)
+    session = Session(selector, budget)
     for shard in SHARDS[:-1]:
         session.fail(shard, Outcome.CLOSED)
         session.tick(session.gather.next_wake())
@@ -41,27 +41,27 @@
 
 
 def test_second_target_is_asked_once_another_shard_is_in(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget)
+    session = Session(selector, budget)
     session.answer("s1")
     session.fail("s0", Outcome.CLOSED)
     assert session.sent[-1].target.instance == "s0-far"
 
 
 def test_second_target_is_asked_when_nothing_else_is_awaited(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget)
+    session = Session(selector, budget)
     for shard in SHARDS:
         session.fail(shard, Outcome.CLOSED)
     assert session.sent[-1].target.instance == f"{SHARDS[-1]}-far"
 
 
 def test_query_whose_every_target_ended_is_given_up_with_the_next_look(
-    board: TargetSelector, no_budget: RetryBudget
+    selector: TargetSelector, no_budget: RetryBudget
 ) -> None:
-    session = Session(board, no_budget)
+    session = Session(selector, no_budget)
     for shard in SHARDS:
         session.fail(shard, Outcome.CLOSED)
     looked_at = session.gather.next_wake()
@@ -72,10 +72,10 @@
 
 
 def test_peer_under_which_targets_ended_makes_the_query_wait(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
     elsewhere = Elsewhere()
-    session = Session(board, budget, groups=(GROUP,), elsewhere=elsewhere)
+    session = Session(selector, budget, groups=(GROUP,), elsewhere=elsewhere)
     session.take(session.gather.group_parts(0, {}, [], False, True, 0.05, closed=3))
     assert len(session.groups) == 1
     session.answer("s5", 0.06)
@@ -85,9 +85,11 @@
 
 
 @pytest.mark.parametrize("partial", [False, True], ids=["client's", "peer's"])
-def test_held_query_ends_at_once(board: TargetSelector, budget: RetryBudget, partial: bool) -> None:
+def test_held_query_ends_at_once(
+    selector: TargetSelector, budget: RetryBudget, partial: bool
+) -> None:
     gate = Gate()
-    session = Session(board, budget, partial=partial, gate=gate)
+    session = Session(selector, budget, partial=partial, gate=gate)
     gate.now = Passage.SHUT
     session.fail("s0", Outcome.CLOSED)
     assert not session.open
@@ -101,11 +103,11 @@
 
 
 def test_suspect_is_asked_nowhere_until_it_is_cleared(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
     gate = Gate()
     elsewhere = Elsewhere()
-    session = Session(board, budget, gate=gate, elsewhere=elsewhere)
+    session = Session(selector, budget, gate=gate, elsewhere=elsewhere)
     gate.now = Passage.WAIT
     session.answer("s1")
     session.fail("s0", Outcome.CLOSED)
@@ -123,10 +125,10 @@
     [(Passage.OPEN, 2), (Passage.ONE, 1), (Passage.WAIT, 1), (Passage.SHUT, 1)],
 )
 def test_request_to_one_target_is_not_sent_again(
-    board: TargetSelector, budget: RetryBudget, passage: Passage, sends: int
+    selector: TargetSelector, budget: RetryBudget, passage: Passage, sends: int
 ) -> None:
     gate = Gate()
-    single = Single(SinglePlan(ROUTE, "s0", True, 3, 0.18, 1.0, gate), board, budget)
+    single = Single(SinglePlan(ROUTE, "s0", True, 3, 0.18, 1.0, gate), selector, budget)
     single.start(0.0)
     gate.now = passage
     commands = single.target_ended(0, end(Outcome.CLOSED), 0.02)
--- a/tests/relay/test_down_reports.py
+++ b/tests/relay/test_down_reports.py
@@ -19,18 +19,18 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.board = TargetSelector(HERE, seed=1)
-        self.board.set_targets({"s": (DOWN, OTHER)}, 0.0)
-        self.reports = DownReports(self.board)
+        self.selector = TargetSelector(HERE, seed=1)
+        self.selector.set_targets({"s": (DOWN, OTHER)}, 0.0)
+        self.reports = DownReports(self.selector)
 
     def ask(self, chosen: Target, outcome: Outcome, now: float) -> TargetDown | None:
         token = object()
-        self.board.sent(chosen, token, ROUTE, now)
-        self.board.ended(chosen, token, outcome, None, now)
+        self.selector.sent(chosen, token, ROUTE, now)
+        self.selector.ended(chosen, token, outcome, None, now)
         return self.reports.request_ended(chosen, outcome, now, now)
 
     def best(self, now: float) -> Target:
-        return self.board.rank("s", ROUTE, now)[0].target
+        return self.selector.rank("s", ROUTE, now)[0].target
 
 
 class Step(NamedTuple):
@@ -85,7 +85,7 @@
         else:
             box.ask(DOWN, step.outcome, step.at)
     assert (box.best(now) == OTHER) is last_resort
-    assert len(box.board.rank("s", ROUTE, now)) == 2
+    assert len(box.selector.rank("s", ROUTE, now)) == 2
 
 
 def test_report_on_an_unknown_target_has_no_effect() -> None:
--- a/tests/relay/test_gather.py
+++ b/tests/relay/test_gather.py
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        board: TargetSelector,
+        selector: TargetSelector,
         budget: RetryBudget,
         least: float = 0.8,
         groups: tuple[GroupPlan, ...] = (),
@@ -80,7 +80,7 @@
             repeat,
             gate,
         )
-        self.gather = Gather(plan, board, budget, elsewhere)
+        self.gather = Gather(plan, selector, budget, elsewhere)
         self.open: dict[int, SendPart] = {}
         self.sent: list[SendPart] = []
         self.groups: list[SendGroup] = []
@@ -138,17 +138,19 @@
         self.take(self.gather.tick(now))
 
 
-def refuse_connection(board: TargetSelector, session: Session, shard: str, now: float) -> None:
+def refuse_connection(selector: TargetSelector, session: Session, shard: str, now: float) -> None:
     """Let the request for a shard end as the shell does when its target refuses connections."""
     token = session.token(shard, "")
     target = session.open[token].target
-    board.sent(target, token, ROUTE, now)
-    board.ended(target, token, Outcome.NOT_SENT, None, now)
+    selector.sent(target, token, ROUTE, now)
+    selector.ended(target, token, Outcome.NOT_SENT, None, now)
     session.fail(shard, Outcome.NOT_SENT, now)
 
 
-def test_whole_answer_comes_with_the_last_shard(board: TargetSelector, budget: RetryBudget) -> None:
-    session = Session(board, budget)
+def test_whole_answer_comes_with_the_last_shard(
+    selector: TargetSelector, budget: RetryBudget
+) -> None:
+    session = Session(selector, budget)
     assert [sent.target.instance for sent in session.sent] == [f"{s}-near" for s in SHARDS]
     for shard in SHARDS[:-1]:
         session.answer(shard)
@@ -160,8 +162,10 @@
     assert len(session.end.record_lists) == len(SHARDS)
 
 
-def test_late_shard_is_asked_of_a_second_target(board: TargetSelector, budget: RetryBudget) -> None:
-    session = Session(board, budget)
+def test_late_shard_is_asked_of_a_second_target(
+    selector: TargetSelector, budget: RetryBudget
+) -> None:
+    session = Session(selector, budget)
     for shard in SHARDS[1:]:
         session.answer(shard)
     session.tick(session.gather.next_wake())
@@ -172,8 +176,10 @@
     assert not session.open
 
 
-def test_answer_at_the_aim_names_what_it_lacks(board: TargetSelector, budget: RetryBudget) -> None:
-    session = Session(board, budget, max_attempts=1)
+def test_answer_at_the_aim_names_what_it_lacks(
+    selector: TargetSelector, budget: RetryBudget
+) -> None:
+    session = Session(selector, budget, max_attempts=1)
     for shard in SHARDS[2:]:
         session.answer(shard)
     session.tick(ANSWER_AT)
@@ -183,9 +189,9 @@
 
 
 def test_after_the_aim_the_least_coverage_is_enough(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget, max_attempts=1)
+    session = Session(selector, budget, max_attempts=1)
     for shard in SHARDS[3:]:
         session.answer(shard)
     session.tick(ANSWER_AT)
@@ -195,8 +201,8 @@
     assert session.end.missing == 2
 
 
-def test_time_is_up(board: TargetSelector, budget: RetryBudget) -> None:
-    session = Session(board, budget, max_attempts=1)
+def test_time_is_up(selector: TargetSelector, budget: RetryBudget) -> None:
+    session = Session(selector, budget, max_attempts=1)
     session.answer("s0")
     session.tick(END_AT)
     assert isinstance(session.end, GatherFailed)
@@ -216,10 +222,10 @@
     ],
 )
 def test_hopeless_query_is_given_up_at_once(
-    board: TargetSelector, no_budget: RetryBudget, outcome: Outcome, ran: bool
+    selector: TargetSelector, no_budget: RetryBudget, outcome: Outcome, ran: bool
 ) -> None:
     """A refusal may say that nothing ran only when no target may have run a shard."""
-    session = Session(board, no_budget, least=0.1)
+    session = Session(selector, no_budget, least=0.1)
     while session.end is None:
         session.fail(next(iter(session.open.values())).shard, outcome)
     assert isinstance(session.end, GatherFailed)
@@ -228,19 +234,19 @@
     assert len(session.sent) <= MAX_SENDS * len(SHARDS)
 
 
-def test_shards_that_are_out_may_have_run(board: TargetSelector, no_budget: RetryBudget) -> None:
-    session = Session(board, no_budget, least=1.0)
+def test_shards_that_are_out_may_have_run(selector: TargetSelector, no_budget: RetryBudget) -> None:
+    session = Session(selector, no_budget, least=1.0)
     session.fail("s0", Outcome.NOT_RUN)
     assert isinstance(session.end, GatherFailed)
     assert session.end[:3] == (True, False, "too few shards can answer")
     assert session.end.lacking.startswith("s0: not_run at s0-near")
 
 
-def test_failed_connections_do_not_enlarge_the_budget(board: TargetSelector) -> None:
+def test_failed_connections_do_not_enlarge_the_budget(selector: TargetSelector) -> None:
     """A request that could not be sent is asked for once, however often it is tried."""
     budget = RetryBudget(RetryBudgetLimits(0.2, 10.0, 0.0), 0.0)
     for _ in range(10):
-        session = Session(board, budget)
+        session = Session(selector, budget)
         while session.end is None:
             session.fail(next(iter(session.open.values())).shard, Outcome.NOT_SENT)
     repeats = 0
@@ -250,9 +256,9 @@
 
 
 def test_address_of_another_target_is_not_asked_again(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget)
+    session = Session(selector, budget)
     session.fail("s0", Outcome.ELSEWHERE)
     session.fail("s0", Outcome.ELSEWHERE)
     assert [sent.target.instance for sent in session.sent if sent.shard == "s0"] == [
@@ -272,26 +278,26 @@
     "outcome", [Outcome.NOT_RUN, Outcome.FAILED, Outcome.BROKEN, Outcome.ELSEWHERE]
 )
 def test_failed_shard_is_asked_again_at_once(
-    board: TargetSelector, budget: RetryBudget, outcome: Outcome
+    selector: TargetSelector, budget: RetryBudget, outcome: Outcome
 ) -> None:
-    session = Session(board, budget)
+    session = Session(selector, budget)
     session.fail("s0", outcome)
     assert session.sent[-1].target.instance == "s0-far"
     assert session.sent[-1].reason == outcome.value
 
 
 def test_no_more_targets_run_a_shard_than_allowed(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget, max_attempts=1)
+    session = Session(selector, budget, max_attempts=1)
     session.fail("s0", Outcome.FAILED)
     assert len(session.sent) == len(SHARDS)
     session.fail("s1", Outcome.NOT_RUN)
     assert session.sent[-1].target.instance == "s1-far"
 
 
-def test_empty_budget_allows_no_repeat(board: TargetSelector, no_budget: RetryBudget) -> None:
-    session = Session(board, no_budget)
+def test_empty_budget_allows_no_repeat(selector: TargetSelector, no_budget: RetryBudget) -> None:
+    session = Session(selector, no_budget)
     session.fail("s0", Outcome.FAILED)
     session.tick(session.gather.next_wake())
     assert len(session.sent) == len(SHARDS)
@@ -302,10 +308,10 @@
 
     @pytest.mark.parametrize("rounds", [1, 2], ids=["refused-once", "refused-again"])
     def test_shard_that_all_targets_refused_is_asked_again_within_the_aim(
-        self, board: TargetSelector, budget: RetryBudget, rounds: int
+        self, selector: TargetSelector, budget: RetryBudget, rounds: int
     ) -> None:
         """Targets that shed six in ten were given up on after 3 to 42 ms of a client's 3 s."""
-        session = Session(board, budget, least=1.0)
+        session = Session(selector, budget, least=1.0)
         now = 0.01
         for _ in range(rounds):
             while "s0" in {sent.shard for sent in session.open.values()}:
@@ -318,9 +324,9 @@
         assert now < ANSWER_AT
 
     def test_each_refusal_doubles_the_rest(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
-        session = Session(board, budget, least=1.0)
+        session = Session(selector, budget, least=1.0)
         rests, now = [], 0.0
         session.fail("s0", Outcome.NOT_RUN, now)
         for _ in range(3):
@@ -333,16 +339,16 @@
         assert rests[0] < rests[1] < rests[2]
 
     def test_shard_whose_targets_are_down_is_asked_seldom(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
         """The load: all targets of a shard refuse connections, at once, to each query."""
-        session = Session(board, budget, least=1.0)
+        session = Session(selector, budget, least=1.0)
         for number in range(1, 10):
             session.answer(f"s{number}", 0.0)
         now = 0.0
         while session.end is None:
             if session.open:
-                refuse_connection(board, session, "s0", now)
+                refuse_connection(selector, session, "s0", now)
                 continue
             now = session.gather.next_wake()
             session.tick(now)
@@ -350,15 +356,15 @@
         assert 2 < len(asked) < MAX_SENDS
         assert isinstance(session.end, GatherFailed)
         assert ANSWER_AT <= now < END_AT
-        next_one = Session(board, budget, least=1.0)
+        next_one = Session(selector, budget, least=1.0)
         assert len([sent for sent in next_one.sent if sent.shard == "s0"]) <= 1
 
     def test_target_that_is_back_before_the_aim_serves(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
-        session = Session(board, budget, least=1.0)
-        refuse_connection(board, session, "s0", 0.0)
-        refuse_connection(board, session, "s0", 0.0)
+        session = Session(selector, budget, least=1.0)
+        refuse_connection(selector, session, "s0", 0.0)
+        refuse_connection(selector, session, "s0", 0.0)
         for number in range(1, 10):
             session.answer(f"s{number}", 0.01)
         while "s0" not in {sent.shard for sent in session.open.values()}:
@@ -366,9 +372,9 @@
         session.answer("s0", 0.1)
         assert isinstance(session.end, Gathered)
 
-    def test_needed_shard_waits_for_an_allowance(self, board: TargetSelector) -> None:
+    def test_needed_shard_waits_for_an_allowance(self, selector: TargetSelector) -> None:
         budget = RetryBudget(RetryBudgetLimits(0.2, 10.0, 0.0), OLD)
-        session = Session(board, budget, least=1.0)
+        session = Session(selector, budget, least=1.0)
         session.fail("s0", Outcome.FAILED)
         session.tick(session.gather.next_wake())
         assert session.end is None and len(session.sent) == len(SHARDS)
@@ -377,9 +383,9 @@
         session.tick(0.1)
         assert session.sent[-1].shard == "s0"
 
-    def test_query_that_waits_in_vain_ends_with_its_time(self, board: TargetSelector) -> None:
+    def test_query_that_waits_in_vain_ends_with_its_time(self, selector: TargetSelector) -> None:
         budget = RetryBudget(RetryBudgetLimits(0.2, 10.0, 0.0), OLD)
-        session = Session(board, budget, least=1.0)
+        session = Session(selector, budget, least=1.0)
         session.fail("s0", Outcome.FAILED)
         for number in range(1, 10):
             session.answer(f"s{number}")
@@ -388,11 +394,11 @@
         assert session.end[:3] == (True, True, "time is up")
         assert session.end.lacking == "s0: failed at s0-near, held back"
 
-    def test_shards_that_may_lack_leave_a_reserve(self, board: TargetSelector) -> None:
+    def test_shards_that_may_lack_leave_a_reserve(self, selector: TargetSelector) -> None:
         """Two of ten may lack; the first two that fail leave the last repeat to the third."""
         budget = RetryBudget(RetryBudgetLimits(0.0, 10.0, 1.25), OLD)
         budget.set_members(1, 0.0)
-        session = Session(board, budget, least=0.8)
+        session = Session(selector, budget, least=0.8)
         for name in ("s0", "s1", "s2"):
             session.fail(name, Outcome.FAILED)
         assert [sent.shard for sent in session.sent[len(SHARDS) :]] == ["s2"]
@@ -401,18 +407,18 @@
         ("shards", "least"), [(3, 1.0), (5, 0.8), (10, 0.8)], ids=["few", "half", "all"]
     )
     def test_peer_may_leave_out_its_part_of_what_may_lack(
-        self, board: TargetSelector, budget: RetryBudget, shards: int, least: float
+        self, selector: TargetSelector, budget: RetryBudget, shards: int, least: float
     ) -> None:
         group = GROUP._replace(shards=SHARDS[:shards])
-        session = Session(board, budget, least=0.8, groups=(group,))
+        session = Session(selector, budget, least=0.8, groups=(group,))
         assert session.groups[0].least_coverage == pytest.approx(least)
 
 
 class TestGroups:
     """Shards that a peer gathers."""
 
-    def test_merged_parts_count(self, board: TargetSelector, budget: RetryBudget) -> None:
-        session = Session(board, budget, groups=(GROUP,))
+    def test_merged_parts_count(self, selector: TargetSelector, budget: RetryBudget) -> None:
+        session = Session(selector, budget, groups=(GROUP,))
         assert {sent.shard for sent in session.sent} == set(SHARDS[3:])
         for shard in SHARDS[3:]:
             session.answer(shard)
@@ -423,10 +429,10 @@
         assert session.end.signature_by_shard["s0"] == b"peer0-s0"
 
     def test_peer_and_this_box_keep_to_the_attempts_together(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
         """Of two attempts the peer has one; the other goes to a target elsewhere, once."""
-        session = Session(board, budget, groups=(GROUP,))
+        session = Session(selector, budget, groups=(GROUP,))
         assert session.gather.plan.peer_attempts == 1
         session.parts(["s0", "s1"], final=False)
         session.parts([], final=True)
@@ -434,23 +440,25 @@
         asked = [sent.target.instance for sent in session.sent if sent.shard == "s2"]
         assert asked == ["s2-far"]
 
-    def test_single_attempt_is_the_peers(self, board: TargetSelector, budget: RetryBudget) -> None:
-        session = Session(board, budget, groups=(GROUP,), max_attempts=1)
+    def test_single_attempt_is_the_peers(
+        self, selector: TargetSelector, budget: RetryBudget
+    ) -> None:
+        session = Session(selector, budget, groups=(GROUP,), max_attempts=1)
         session.parts(["s0", "s1"], final=True)
         assert not [sent for sent in session.sent if sent.shard == "s2"]
 
     def test_what_the_peer_lacks_is_asked_directly(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
-        session = Session(board, budget, groups=(GROUP,))
+        session = Session(selector, budget, groups=(GROUP,))
         session.parts(["s0", "s1"], final=True)
         assert (session.sent[-1].shard, session.sent[-1].reason) == ("s2", "lacking")
 
     @pytest.mark.parametrize("accepted", [False, True], ids=["not-accepted", "accepted-then-mute"])
     def test_silent_peer_is_gone_around(
-        self, board: TargetSelector, budget: RetryBudget, accepted: bool
+        self, selector: TargetSelector, budget: RetryBudget, accepted: bool
     ) -> None:
-        session = Session(board, budget, groups=(GROUP,))
+        session = Session(selector, budget, groups=(GROUP,))
         if accepted:
             session.gather.group_accepted(0)
         session.tick(0.07)
@@ -460,22 +468,22 @@
         asked = [sent.shard for sent in session.sent if sent.shard in GROUP.shards]
         assert asked == ["s0", "s1", "s2"]
 
-    def test_lost_peer_is_gone_around(self, board: TargetSelector, budget: RetryBudget) -> None:
-        session = Session(board, budget, groups=(GROUP,))
+    def test_lost_peer_is_gone_around(self, selector: TargetSelector, budget: RetryBudget) -> None:
+        session = Session(selector, budget, groups=(GROUP,))
         session.take(session.gather.group_lost(0, 0.01))
         assert [sent.shard for sent in session.sent[-3:]] == ["s0", "s1", "s2"]
 
     def test_requests_around_a_peer_are_repeats(
-        self, board: TargetSelector, no_budget: RetryBudget
+        self, selector: TargetSelector, no_budget: RetryBudget
     ) -> None:
         """The peer may have asked the targets, so the budget has to allow it."""
-        session = Session(board, no_budget, groups=(GROUP,))
+        session = Session(selector, no_budget, groups=(GROUP,))
         session.take(session.gather.group_lost(0, 0.01))
         assert isinstance(session.end, GatherFailed)
 
-    def test_no_shard_counts_twice(self, board: TargetSelector, budget: RetryBudget) -> None:
+    def test_no_shard_counts_twice(self, selector: TargetSelector, budget: RetryBudget) -> None:
         """A part that came directly gives way to the peer's merged ones, which hold it too."""
-        session = Session(board, budget, groups=(GROUP,))
+        session = Session(selector, budget, groups=(GROUP,))
         session.gather.group_accepted(0)
         session.tick(0.1)
         session.answer("s0", 0.12)
@@ -493,16 +501,16 @@
         "shards", [["s0", "s9"], ["s0", "unknown"]], ids=["not-its-shard", "unknown-shard"]
     )
     def test_parts_of_shards_that_were_not_asked_are_dropped(
-        self, board: TargetSelector, budget: RetryBudget, shards: list[str]
+        self, selector: TargetSelector, budget: RetryBudget, shards: list[str]
     ) -> None:
-        session = Session(board, budget, groups=(GROUP,))
+        session = Session(selector, budget, groups=(GROUP,))
         session.parts(shards, final=False)
         assert not session.gather.parts.gathered().signature_by_shard
 
     def test_peer_is_told_when_the_query_ends_without_it(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
-        session = Session(board, budget, least=0.5, groups=(GROUP,))
+        session = Session(selector, budget, least=0.5, groups=(GROUP,))
         for shard in SHARDS[3:]:
             session.answer(shard)
         session.gather.group_accepted(0)
@@ -511,8 +519,8 @@
         assert CancelGroup(0, "peer:1") in session.other
 
 
-def test_partial_gather_gives_what_is_in(board: TargetSelector, budget: RetryBudget) -> None:
-    session = Session(board, budget, least=0.0, partial=True)
+def test_partial_gather_gives_what_is_in(selector: TargetSelector, budget: RetryBudget) -> None:
+    session = Session(selector, budget, least=0.0, partial=True)
     session.answer("s0")
     first, _ = session.gather.parts.take_unreported()
     session.answer("s1")
@@ -525,8 +533,10 @@
     assert session.end.missing == 8
 
 
-def test_client_that_left_takes_everything_back(board: TargetSelector, budget: RetryBudget) -> None:
-    session = Session(board, budget, groups=(GROUP,))
+def test_client_that_left_takes_everything_back(
+    selector: TargetSelector, budget: RetryBudget
+) -> None:
+    session = Session(selector, budget, groups=(GROUP,))
     session.take(session.gather.cancel())
     assert not session.open
     assert session.other == [CancelGroup(0, "peer:1")]
@@ -536,19 +546,19 @@
     """Shards that are late go through a peer beside other targets."""
 
     def test_what_a_report_lacks_goes_in_one_group(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
         elsewhere = Elsewhere()
-        session = Session(board, budget, groups=(GROUP,), elsewhere=elsewhere)
+        session = Session(selector, budget, groups=(GROUP,), elsewhere=elsewhere)
         session.parts(["s0"], final=False)
         assert session.groups[-1].group[:3] == ("other:1", THERE, ("s1", "s2"))
         assert elsewhere.tried_by_shard == {"s1": {"s1-near"}, "s2": {"s2-near"}}
         assert {sent.shard for sent in session.sent} == set(SHARDS[3:])
 
     def test_late_direct_shards_go_in_one_group(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
-        session = Session(board, budget, elsewhere=Elsewhere())
+        session = Session(selector, budget, elsewhere=Elsewhere())
         for shard in SHARDS[4:]:
             session.answer(shard)
         session.tick(session.gather.next_wake())
@@ -556,9 +566,9 @@
         assert len(session.sent) == len(SHARDS)
 
     def test_no_shard_is_asked_more_often_than_allowed(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
-        session = Session(board, budget, least=1.0, groups=(GROUP,), elsewhere=Elsewhere())
+        session = Session(selector, budget, least=1.0, groups=(GROUP,), elsewhere=Elsewhere())
         for shard in SHARDS[3:]:
             session.answer(shard)
         session.parts(["s0"], final=False)
@@ -571,10 +581,10 @@
 
     @pytest.mark.parametrize("first", [0, 1], ids=["merged-first", "single-first"])
     def test_part_that_came_twice_counts_once(
-        self, board: TargetSelector, budget: RetryBudget, first: int
+        self, selector: TargetSelector, budget: RetryBudget, first: int
     ) -> None:
         """Merged records hold the shard's, so that the part that came by itself gives way."""
-        session = Session(board, budget, groups=(GROUP,), elsewhere=Elsewhere())
+        session = Session(selector, budget, groups=(GROUP,), elsewhere=Elsewhere())
         session.parts([], final=False)
         for number in (first, 1 - first):
             session.parts(["s0", "s1"] if number == 0 else ["s0"], False, number=number)
@@ -584,11 +594,11 @@
 
     @pytest.mark.parametrize("lost", [False, True], ids=["silent", "link-lost"])
     def test_shards_of_a_lost_peer_go_to_another_one(
-        self, board: TargetSelector, budget: RetryBudget, lost: bool
+        self, selector: TargetSelector, budget: RetryBudget, lost: bool
     ) -> None:
         """It may not have asked its targets, so that they may be asked again."""
         elsewhere = Elsewhere()
-        session = Session(board, budget, groups=(GROUP,), elsewhere=elsewhere)
+        session = Session(selector, budget, groups=(GROUP,), elsewhere=elsewhere)
         if lost:
             session.take(session.gather.group_lost(0, 0.01))
         else:
@@ -597,13 +607,13 @@
         assert elsewhere.tried_by_shard == dict.fromkeys(GROUP.shards, frozenset())
 
     def test_second_peer_asks_beside_itself_and_pays(
-        self, board: TargetSelector, budget: RetryBudget, no_budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget, no_budget: RetryBudget
     ) -> None:
-        session = Session(board, budget, least=0.0, max_attempts=1, partial=True, repeat=True)
+        session = Session(selector, budget, least=0.0, max_attempts=1, partial=True, repeat=True)
         assert {sent.target.place for sent in session.sent} == {HERE}
         session.fail("s0", Outcome.FAILED)
         assert len(session.sent) == len(SHARDS)
-        assert not Session(board, no_budget, least=0.0, partial=True, repeat=True).sent
+        assert not Session(selector, no_budget, least=0.0, partial=True, repeat=True).sent
 
 
 @pytest.mark.parametrize(
@@ -615,10 +625,10 @@
     ],
 )
 def test_failure_tells_truly_whether_a_peer_ran_it(
-    board: TargetSelector, no_budget: RetryBudget, events: str, ran: bool
+    selector: TargetSelector, no_budget: RetryBudget, events: str, ran: bool
 ) -> None:
     group = GroupPlan("peer:1", HERE, SHARDS, 0.06, 0.08)
-    session = Session(board, no_budget, groups=(group,), max_attempts=1)
+    session = Session(selector, no_budget, groups=(group,), max_attempts=1)
     if events == "lost":
         session.take(session.gather.group_lost(0, 0.01))
     else:
@@ -631,44 +641,44 @@
     """A peer whose targets are slow leaves their shards to others."""
 
     def test_peer_declines_what_is_better_elsewhere(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
-        make_slow(board, "s0-near")
-        session = Session(board, budget, least=0.0, partial=True)
+        make_slow(selector, "s0-near")
+        session = Session(selector, budget, least=0.0, partial=True)
         assert session.other == [Declined(("s0",))]
         assert {sent.shard for sent in session.sent} == set(SHARDS[1:])
 
     def test_where_all_are_slow_nothing_is_declined(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
         """Under too much load all boxes would send their shards to each other."""
         for number, shard in enumerate(SHARDS * 20):
-            near = board.targets(shard)[0]
-            board.sent(near, number, ROUTE, -1.0)
-            board.ended(near, number, Outcome.OK, None, -0.6)
-        session = Session(board, budget, least=0.0, partial=True)
+            near = selector.targets(shard)[0]
+            selector.sent(near, number, ROUTE, -1.0)
+            selector.ended(near, number, Outcome.OK, None, -0.6)
+        session = Session(selector, budget, least=0.0, partial=True)
         assert session.other == []
 
-    def test_repeat_is_never_declined(self, board: TargetSelector, budget: RetryBudget) -> None:
-        make_slow(board, "s0-near")
-        session = Session(board, budget, least=0.0, partial=True, repeat=True)
+    def test_repeat_is_never_declined(self, selector: TargetSelector, budget: RetryBudget) -> None:
+        make_slow(selector, "s0-near")
+        session = Session(selector, budget, least=0.0, partial=True, repeat=True)
         assert session.sent[0].target.instance == "s0-near"
 
     def test_repeat_that_may_not_be_paid_is_given_back(
-        self, board: TargetSelector, no_budget: RetryBudget
+        self, selector: TargetSelector, no_budget: RetryBudget
     ) -> None:
         """No target has seen it, so that it must not count as one of the shard's attempts."""
-        session = Session(board, no_budget, least=0.0, partial=True, repeat=True)
+        session = Session(selector, no_budget, least=0.0, partial=True, repeat=True)
         assert session.other == [Declined(SHARDS)]
 
-    def test_shard_that_peers_give_back_is_not_lost(self, board: TargetSelector) -> None:
+    def test_shard_that_peers_give_back_is_not_lost(self, selector: TargetSelector) -> None:
         """The load: the allowances of single boxes run dry while others have theirs left.
 
         Queries were given up with most of their time left, as their last attempt was with a peer
         that could not pay for it.
         """
         dry = RetryBudget(RetryBudgetLimits(0.2, 10.0, 0.0), OLD)
-        session = Session(board, dry, least=1.0, elsewhere=Elsewhere())
+        session = Session(selector, dry, least=1.0, elsewhere=Elsewhere())
         session.fail("s0", Outcome.FAILED)
         for number in range(1, 10):
             session.answer(f"s{number}")
@@ -689,54 +699,54 @@
         assert isinstance(session.end, Gathered)
 
     def test_declined_shards_go_elsewhere_and_are_no_repeats(
-        self, board: TargetSelector, no_budget: RetryBudget
+        self, selector: TargetSelector, no_budget: RetryBudget
     ) -> None:
         elsewhere = Elsewhere()
-        session = Session(board, no_budget, groups=(GROUP,), elsewhere=elsewhere)
+        session = Session(selector, no_budget, groups=(GROUP,), elsewhere=elsewhere)
         session.take(session.gather.group_declined(0, ["s1"], 0.01))
         assert session.groups[-1].group[:3] == ("other:1", THERE, ("s1",))
         assert not session.groups[-1].group.repeat
         assert elsewhere.tried_by_shard == {"s1": {"s1-near"}}
 
     def test_shard_that_all_decline_is_asked_directly(
-        self, board: TargetSelector, no_budget: RetryBudget
+        self, selector: TargetSelector, no_budget: RetryBudget
     ) -> None:
-        session = Session(board, no_budget, groups=(GROUP,))
+        session = Session(selector, no_budget, groups=(GROUP,))
         session.take(session.gather.group_declined(0, ["s1"], 0.01))
         assert (session.sent[-1].shard, session.sent[-1].reason) == ("s1", "declined")
 
     def test_declined_shard_is_not_asked_again_for_the_peers_report(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
-        session = Session(board, budget, groups=(GROUP,), elsewhere=Elsewhere())
+        session = Session(selector, budget, groups=(GROUP,), elsewhere=Elsewhere())
         session.take(session.gather.group_declined(0, ["s1"], 0.01))
         session.parts(["s0"], final=True)
         assert [command.group.shards for command in session.groups[1:]] == [("s1",), ("s2",)]
 
     def test_own_slow_target_leaves_its_shard_to_a_peer(
-        self, board: TargetSelector, budget: RetryBudget
+        self, selector: TargetSelector, budget: RetryBudget
     ) -> None:
-        make_slow(board, "s0-near")
-        session = Session(board, budget, elsewhere=Elsewhere())
+        make_slow(selector, "s0-near")
+        session = Session(selector, budget, elsewhere=Elsewhere())
         assert [command.group.shards for command in session.groups] == [("s0",)]
         assert {sent.shard for sent in session.sent} == set(SHARDS[1:])
 
 
 def test_own_slow_target_is_passed_over_with_the_real_planner(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    planner = GroupPlanner(HERE, "own:1", board, PeerTracker())
+    planner = GroupPlanner(HERE, "own:1", selector, PeerTracker())
     planner.set_peers((PeerBox("there:1", THERE),), True)
-    make_slow(board, "s0-near")
-    session = Session(board, budget, elsewhere=planner)
+    make_slow(selector, "s0-near")
+    session = Session(selector, budget, elsewhere=planner)
     assert [command.group[:3] for command in session.groups] == [("there:1", THERE, ("s0",))]
     assert {sent.shard for sent in session.sent} == set(SHARDS[1:])
 
 
 def test_late_shards_are_asked_for_records_that_can_count(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget, groups=(GROUP,), elsewhere=Elsewhere())
+    session = Session(selector, budget, groups=(GROUP,), elsewhere=Elsewhere())
     for shard in SHARDS[3:]:
         session.answer(shard)
     session.parts(["s0"], final=False)
@@ -744,11 +754,11 @@
     assert session.groups[-1].floor == b"s7".ljust(16)
 
 
-def make_slow(board: TargetSelector, instance: str) -> None:
+def make_slow(selector: TargetSelector, instance: str) -> None:
     """Let a target answer ten times as slowly as others."""
     service = instance.split("-", maxsplit=1)[0]
-    slow = next(found for found in board.targets(service) if found.instance == instance)
-    quick = board.targets("s9")[0]
+    slow = next(found for found in selector.targets(service) if found.instance == instance)
+    quick = selector.targets("s9")[0]
     for number, (found, ended_at) in enumerate([(quick, -0.96)] * 64 + [(slow, -0.6)] * 4):
-        board.sent(found, number, ROUTE, -1.0)
-        board.ended(found, number, Outcome.OK, None, ended_at)
+        selector.sent(found, number, ROUTE, -1.0)
+        selector.ended(found, number, Outcome.OK, None, ended_at)
--- a/tests/relay/test_grouping.py
+++ b/tests/relay/test_grouping.py
@@ -30,14 +30,14 @@
     peer_tracker: PeerTracker | None = None,
     gathers: bool = True,
 ) -> list[tuple[str, tuple[str, ...]]]:
-    board = TargetSelector(HERE, 1)
+    selector = TargetSelector(HERE, 1)
     targets: dict[str, tuple[Target, ...]] = {
         shard: tuple(target(f"{shard}-{place.region}", shard, place) for place in places)
         for shard, places in places_by_shard.items()
     }
-    board.set_targets(targets, 0.0)
+    selector.set_targets(targets, 0.0)
     groups = group_far_shards(
-        tuple(places_by_shard), HERE, gathers, peers, board, peer_tracker or PeerTracker(), 0.0
+        tuple(places_by_shard), HERE, gathers, peers, selector, peer_tracker or PeerTracker(), 0.0
     )
     return [(group.peer.address, group.shards) for group in groups]
 
@@ -98,7 +98,7 @@
     peers = tuple(PeerBox(f"there:{n}", THERE, 2.0 if n < 2 else 0.5) for n in range(6))
     picked: Counter[str] = Counter()
     for own in range(200):
-        planner = GroupPlanner(HERE, f"own:{own}", board_of(FAR_ONLY), PeerTracker())
+        planner = GroupPlanner(HERE, f"own:{own}", selector_of(FAR_ONLY), PeerTracker())
         planner.set_peers(peers, True)
         found = {planner.first_groups(("a", "b"), ROUTE, 0.2, 0.0)[0].address for _ in range(20)}
         assert len(found) <= PEERS_IN_ROTATION
@@ -144,8 +144,8 @@
 
 def test_work_follows_speed() -> None:
     peers = [PeerBox("fast:1", HERE, 2.0), PeerBox("slow:1", HERE, 0.5)]
-    board = PeerTracker()
-    picked = [board.pick(peers, 0.0) for _ in range(1000)]
+    tracker = PeerTracker()
+    picked = [tracker.pick(peers, 0.0) for _ in range(1000)]
     assert 780 <= picked.count(peers[0]) <= 820
     assert max(len(list(run)) for box, run in groupby(picked) if box == peers[0]) <= 8
 
@@ -164,9 +164,9 @@
 """Places of the targets of four shards; each target is named after its shard and place."""
 
 
-def board_of(places_by_shard: dict[str, list[Place]]) -> TargetSelector:
-    board = TargetSelector(HERE, 1)
-    board.set_targets(
+def selector_of(places_by_shard: dict[str, list[Place]]) -> TargetSelector:
+    selector = TargetSelector(HERE, 1)
+    selector.set_targets(
         {
             shard: tuple(
                 target(f"{shard}@{place.failure_domain}", shard, place) for place in places
@@ -175,7 +175,7 @@
         },
         0.0,
     )
-    return board
+    return selector
 
 
 @pytest.mark.parametrize(
@@ -206,7 +206,7 @@
 def test_late_shards_go_beside_other_targets(
     tried: dict[str, set[str]], gathers: bool, expected: list[tuple[str, tuple[str, ...]]]
 ) -> None:
-    planner = GroupPlanner(HERE, "own:1", board_of(TARGETS), PeerTracker())
+    planner = GroupPlanner(HERE, "own:1", selector_of(TARGETS), PeerTracker())
     planner.set_peers(PEERS, gathers)
     tried_by_shard = {shard: frozenset(targets) for shard, targets in tried.items()}
     groups = planner.groups_elsewhere(tried_by_shard, PLAN, True, 0.0)
@@ -217,7 +217,7 @@
 def test_late_shards_go_over_links_that_are_there() -> None:
     """A new link to another region takes longer than the answer may."""
     peer_tracker = PeerTracker(lambda address: address == "there:2")
-    planner = GroupPlanner(HERE, "own:1", board_of({"a": [THERE]}), peer_tracker)
+    planner = GroupPlanner(HERE, "own:1", selector_of({"a": [THERE]}), peer_tracker)
     planner.set_peers(tuple(PeerBox(f"there:{n}", THERE) for n in range(5)), True)
     for _ in range(3):
         (group,) = planner.groups_elsewhere({"a": frozenset()}, PLAN, True, 0.0)
--- a/tests/relay/test_homes.py
+++ b/tests/relay/test_homes.py
@@ -30,9 +30,9 @@
     return ROUTE._replace(homes=homes)
 
 
-def make_board(places: tuple[Place, ...] = PLACES) -> TargetSelector:
-    board = TargetSelector(HERE, seed=1)
-    board.set_targets(
+def make_selector(places: tuple[Place, ...] = PLACES) -> TargetSelector:
+    selector = TargetSelector(HERE, seed=1)
+    selector.set_targets(
         {
             shard: tuple(
                 target(f"{shard}@{place.failure_domain}", shard, place) for place in places
@@ -41,11 +41,11 @@
         },
         0.0,
     )
-    return board
+    return selector
 
 
-def make_planner(board: TargetSelector, gathers: bool = True) -> GroupPlanner:
-    planner = GroupPlanner(HERE, "own:1", board, PeerTracker())
+def make_planner(selector: TargetSelector, gathers: bool = True) -> GroupPlanner:
+    planner = GroupPlanner(HERE, "own:1", selector, PeerTracker())
     planner.set_peers(PEERS, gathers)
     return planner
 
@@ -58,16 +58,16 @@
 
 @pytest.mark.parametrize("homes", HOMES, ids=sorted)
 def test_only_targets_in_the_homes_are_ranked(homes: frozenset[str]) -> None:
-    board = make_board()
-    choices = board.rank("s0", homed(homes), 0.0)
+    selector = make_selector()
+    choices = selector.rank("s0", homed(homes), 0.0)
     assert {choice.target.place.region for choice in choices} == homes
-    assert len(board.rank("s0", ROUTE, 0.0)) == len(PLACES)
+    assert len(selector.rank("s0", ROUTE, 0.0)) == len(PLACES)
 
 
 @pytest.mark.parametrize("homes", HOMES, ids=sorted)
 @pytest.mark.parametrize("gathers", [True, False], ids=["gathers", "not-a-gatherer"])
 def test_no_group_goes_outside_the_homes(homes: frozenset[str], gathers: bool) -> None:
-    planner = make_planner(make_board(), gathers)
+    planner = make_planner(make_selector(), gathers)
     groups = planner.first_groups(SHARDS, homed(homes), 0.19, 0.0)
     assert all(group.place.region in homes for group in groups)
     assert groups or homes == {"here"}
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("homes", HOMES, ids=sorted)
 @pytest.mark.parametrize("repeat", [True, False], ids=["repeat", "declined"])
 def test_no_late_shard_goes_outside_the_homes(homes: frozenset[str], repeat: bool) -> None:
-    planner = make_planner(make_board())
+    planner = make_planner(make_selector())
     plan = GatherPlan(homed(homes), SHARDS, 3, (), 0.8, 2, 0.19, 1.0, False)
     tried = {shard: frozenset({f"{shard}@here-a"}) for shard in SHARDS}
     groups = planner.groups_elsewhere(tried, plan, repeat, 0.1)
@@ -89,8 +89,8 @@
 )
 def test_whole_query_keeps_to_the_homes(homes: frozenset[str], outcome: Outcome) -> None:
     """Every request fails and no peer responds, so that only targets outside are left to try."""
-    board = make_board()
-    planner = make_planner(board)
+    selector = make_selector()
+    planner = make_planner(selector)
     route = homed(homes)
     plan = GatherPlan(
         route,
@@ -103,7 +103,7 @@
         1.0,
         False,
     )
-    gather = Gather(plan, board, make_budget(), planner)
+    gather = Gather(plan, selector, make_budget(), planner)
     commands = gather.start(0.0)
     now = 0.0
     while commands or not gather.ended:
@@ -114,8 +114,8 @@
         commands = []
         for command in sent:
             end = TargetEnd(outcome, None, b"", None, "")
-            board.sent(command.target, command.token, route, now)
-            board.ended(command.target, command.token, outcome, None, now)
+            selector.sent(command.target, command.token, route, now)
+            selector.ended(command.target, command.token, outcome, None, now)
             commands += gather.part_ended(command.token, end, None, now)
         if not sent and not gather.ended:
             now = max(now + 0.001, gather.next_wake())
@@ -134,28 +134,28 @@
 def test_request_without_a_home_is_refused_at_once(
     places: tuple[Place, ...], homes: set[str], reason: NoTargetReason
 ) -> None:
-    board = make_board(places)
+    selector = make_selector(places)
     route = homed(frozenset(homes))
-    single = Single(SinglePlan(route, "s0", True, 3, 0.19, 1.0), board, make_budget())
+    single = Single(SinglePlan(route, "s0", True, 3, 0.19, 1.0), selector, make_budget())
     assert single.start(0.0) == [SingleFailed(False, False, reason.value)]
     plan = GatherPlan(route, SHARDS, 3, (), 0.8, 2, 0.19, 1.0, False)
-    (failed,) = Gather(plan, board, make_budget(), make_planner(board)).start(0.0)
+    (failed,) = Gather(plan, selector, make_budget(), make_planner(selector)).start(0.0)
     assert isinstance(failed, GatherFailed)
     assert (failed.ran, failed.late) == (False, False)
     assert reason.value in failed.lacking
 
 
 def test_evacuated_home_is_refused_and_named() -> None:
-    board = TargetSelector(HERE, seed=1)
+    selector = TargetSelector(HERE, seed=1)
     barred = target("a", "s0", HERE, leaving=True)
-    board.set_targets({"s0": (barred, target("b", "s0", THERE))}, 0.0)
-    single = Single(SinglePlan(homed(HOMES[0]), "s0", True, 3, 0.19, 1.0), board, make_budget())
+    selector.set_targets({"s0": (barred, target("b", "s0", THERE))}, 0.0)
+    single = Single(SinglePlan(homed(HOMES[0]), "s0", True, 3, 0.19, 1.0), selector, make_budget())
     assert single.start(0.0) == [SingleFailed(False, False, NoTargetReason.BARRED.value)]
 
 
 def test_request_that_runs_once_keeps_to_its_home() -> None:
-    board = make_board()
-    single = Single(SinglePlan(homed(HOMES[1]), "s0", False, 3, 0.19, 1.0), board, make_budget())
+    selector = make_selector()
+    single = Single(SinglePlan(homed(HOMES[1]), "s0", False, 3, 0.19, 1.0), selector, make_budget())
     (sent,) = single.start(0.0)
     assert isinstance(sent, SendSingle)
     assert sent.target.place == THERE
--- a/tests/relay/test_incarnations.py
+++ b/tests/relay/test_incarnations.py
@@ -20,51 +20,51 @@
 SECOND = FIRST._replace(born_ms=9_000)
 
 
-def make_board() -> TargetSelector:
-    board = TargetSelector(HERE, 1)
-    board.set_targets({"s": (FIRST,)}, 0.0)
-    return board
+def make_selector() -> TargetSelector:
+    selector = TargetSelector(HERE, 1)
+    selector.set_targets({"s": (FIRST,)}, 0.0)
+    return selector
 
 
-def fail(board: TargetSelector, outcome: Outcome) -> None:
+def fail(selector: TargetSelector, outcome: Outcome) -> None:
     for number in range(4):
-        board.sent(FIRST, number, ROUTE, 0.0)
-        board.ended(FIRST, number, outcome, Load(2, 12, 2), 0.01)
+        selector.sent(FIRST, number, ROUTE, 0.0)
+        selector.ended(FIRST, number, outcome, Load(2, 12, 2), 0.01)
 
 
 @pytest.mark.parametrize("outcome", [o for o in Outcome if o is not Outcome.OK])
 def test_failures_of_an_earlier_incarnation_do_not_count(outcome: Outcome) -> None:
-    board = make_board()
-    fail(board, outcome)
-    board.set_targets({"s": (SECOND,)}, 0.02)
-    (choice,) = board.rank("s", ROUTE, 0.02)
+    selector = make_selector()
+    fail(selector, outcome)
+    selector.set_targets({"s": (SECOND,)}, 0.02)
+    (choice,) = selector.rank("s", ROUTE, 0.02)
     assert not choice.last_resort
     assert choice.rests_until <= 0.02
     assert choice.expected_s == pytest.approx(choice.usual_s)
 
 
 def test_late_answer_of_an_earlier_incarnation_does_not_affect_the_new_one() -> None:
-    board = make_board()
-    board.sent(FIRST, "old", ROUTE, 0.0)
-    board.set_targets({"s": (SECOND,)}, 0.02)
+    selector = make_selector()
+    selector.sent(FIRST, "old", ROUTE, 0.0)
+    selector.set_targets({"s": (SECOND,)}, 0.02)
     for number in range(4):
-        board.ended(FIRST, number if number else "old", Outcome.ELSEWHERE, None, 0.03)
-    (choice,) = board.rank("s", ROUTE, 0.03)
+        selector.ended(FIRST, number if number else "old", Outcome.ELSEWHERE, None, 0.03)
+    (choice,) = selector.rank("s", ROUTE, 0.03)
     assert not choice.last_resort
 
 
 @pytest.mark.parametrize("known_first", [True, False], ids=["entry-first", "reports-first"])
 def test_reports_on_an_earlier_incarnation_do_not_affect_the_new_one(known_first: bool) -> None:
-    board = make_board()
-    reports = DownReports(board)
+    selector = make_selector()
+    reports = DownReports(selector)
     if known_first:
-        board.set_targets({"s": (SECOND,)}, 0.0)
+        selector.set_targets({"s": (SECOND,)}, 0.0)
     reports.receive("a", TargetDown("t", 0.0, FIRST.born_ms), 0.1)
-    board.set_targets({"s": (SECOND,)}, 0.1)
-    (choice,) = board.rank("s", ROUTE, 0.2)
+    selector.set_targets({"s": (SECOND,)}, 0.1)
+    (choice,) = selector.rank("s", ROUTE, 0.2)
     assert not choice.last_resort
     assert reports.receive("a", TargetDown("t", 0.0, SECOND.born_ms), 0.2)
-    (choice,) = board.rank("s", ROUTE, 0.2)
+    (choice,) = selector.rank("s", ROUTE, 0.2)
     assert choice.last_resort
 
 
--- a/tests/relay/test_outbound_groups.py
+++ b/tests/relay/test_outbound_groups.py
@@ -48,7 +48,7 @@
     ],
 )
 def test_message_about_other_shards_is_rejected(
-    board: TargetSelector, budget: RetryBudget, message: GroupParts | GroupDeclined
+    selector: TargetSelector, budget: RetryBudget, message: GroupParts | GroupDeclined
 ) -> None:
     """Without the check it ended the link's task, and so all traffic between the two boxes."""
     events: list[str] = []
@@ -57,7 +57,7 @@
     wire = SimpleNamespace(forwarded_headers=lambda http: ())
     groups = OutboundGroups(hub, wire, log)  # type: ignore[arg-type]
     plan = GatherPlan(ROUTE, GROUP.shards, 3, (GROUP,), 1.0, 2, 0.2, 1.0, False)
-    gather = Gather(plan, board, budget)
+    gather = Gather(plan, selector, budget)
     http = SimpleNamespace(method=b"GET", target=b"/", body=b"")
     request = SimpleNamespace(request_id="r", host="h", path="/", deadline=1.0, http=http)
     run: Any = SimpleNamespace(
--- a/tests/relay/test_single.py
+++ b/tests/relay/test_single.py
@@ -24,10 +24,10 @@
     """Drive one request and remember what it asked for."""
 
     def __init__(
-        self, board: TargetSelector, budget: RetryBudget, repeatable: bool, max_attempts: int = 2
+        self, selector: TargetSelector, budget: RetryBudget, repeatable: bool, max_attempts: int = 2
     ) -> None:
         plan = SinglePlan(ROUTE, "s0", repeatable, max_attempts, 0.18, 1.0)
-        self.single = Single(plan, board, budget)
+        self.single = Single(plan, selector, budget)
         self.sent: list[SendSingle] = []
         self.cancelled: list[int] = []
         self.end: SingleAnswered | SingleFailed | None = None
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize("repeatable", [True, False], ids=["repeatable", "once"])
 @pytest.mark.parametrize("outcome", NOT_RUN)
 def test_request_that_did_not_run_goes_elsewhere(
-    board: TargetSelector, budget: RetryBudget, repeatable: bool, outcome: Outcome
+    selector: TargetSelector, budget: RetryBudget, repeatable: bool, outcome: Outcome
 ) -> None:
-    session = Session(board, budget, repeatable)
+    session = Session(selector, budget, repeatable)
     session.ended(0, outcome)
     assert [sent.target.instance for sent in session.sent] == ["s0-near", "s0-far"]
     session.ended(1, Outcome.OK)
@@ -62,9 +62,9 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_request_that_may_have_run_is_not_sent_again(
-    board: TargetSelector, budget: RetryBudget, outcome: Outcome
+    selector: TargetSelector, budget: RetryBudget, outcome: Outcome
 ) -> None:
-    session = Session(board, budget, False)
+    session = Session(selector, budget, False)
     session.ended(0, outcome)
     assert len(session.sent) == 1
     if outcome is Outcome.FAILED:
@@ -77,18 +77,18 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_repeatable_request_is_sent_again(
-    board: TargetSelector, budget: RetryBudget, outcome: Outcome
+    selector: TargetSelector, budget: RetryBudget, outcome: Outcome
 ) -> None:
-    session = Session(board, budget, True)
+    session = Session(selector, budget, True)
     session.ended(0, outcome)
     assert len(session.sent) == 2
 
 
 @pytest.mark.parametrize("outcome", NOT_RUN)
 def test_refusal_says_truly_that_nothing_ran(
-    board: TargetSelector, no_budget: RetryBudget, outcome: Outcome
+    selector: TargetSelector, no_budget: RetryBudget, outcome: Outcome
 ) -> None:
-    session = Session(board, no_budget, False)
+    session = Session(selector, no_budget, False)
     while session.end is None:
         session.ended(len(session.sent) - 1, outcome)
     assert isinstance(session.end, SingleFailed)
@@ -96,9 +96,9 @@
 
 
 def test_request_that_ran_once_is_never_called_not_run(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget, True)
+    session = Session(selector, budget, True)
     session.ended(0, Outcome.BROKEN)
     session.ended(1, Outcome.NOT_RUN)
     while session.end is None:
@@ -109,22 +109,24 @@
 
 @pytest.mark.parametrize(("repeatable", "sends"), [(True, 2), (False, 1)], ids=["safe", "once"])
 def test_only_repeatable_requests_are_hedged(
-    board: TargetSelector, budget: RetryBudget, repeatable: bool, sends: int
+    selector: TargetSelector, budget: RetryBudget, repeatable: bool, sends: int
 ) -> None:
-    session = Session(board, budget, repeatable)
+    session = Session(selector, budget, repeatable)
     session.take(session.single.tick(min(0.5, session.single.next_wake())))
     assert len(session.sent) == sends
 
 
-def test_time_is_up(board: TargetSelector, budget: RetryBudget) -> None:
-    session = Session(board, budget, False)
+def test_time_is_up(selector: TargetSelector, budget: RetryBudget) -> None:
+    session = Session(selector, budget, False)
     session.take(session.single.tick(1.0))
     assert session.end == SingleFailed(True, True, "time is up")
     assert session.cancelled == [0]
 
 
-def test_client_that_left_takes_everything_back(board: TargetSelector, budget: RetryBudget) -> None:
-    session = Session(board, budget, True)
+def test_client_that_left_takes_everything_back(
+    selector: TargetSelector, budget: RetryBudget
+) -> None:
+    session = Session(selector, budget, True)
     session.take(session.single.cancel())
     assert session.cancelled == [0]
     assert session.single.target_ended(0, end(Outcome.OK), 0.2) == []
@@ -132,15 +134,15 @@
 
 @pytest.mark.parametrize("repeatable", [True, False], ids=["repeatable", "once"])
 def test_request_waits_for_targets_that_refuse_connections(
-    board: TargetSelector, budget: RetryBudget, repeatable: bool
+    selector: TargetSelector, budget: RetryBudget, repeatable: bool
 ) -> None:
     """It was sent eight times within milliseconds and then given up, with its aim far off."""
-    session = Session(board, budget, repeatable)
+    session = Session(selector, budget, repeatable)
     for token, name in enumerate(["s0-near", "s0-far"]):
         target = session.sent[-1].target
         assert target.instance == name
-        board.sent(target, token, ROUTE, 0.0)
-        board.ended(target, token, Outcome.NOT_SENT, None, 0.0)
+        selector.sent(target, token, ROUTE, 0.0)
+        selector.ended(target, token, Outcome.NOT_SENT, None, 0.0)
         session.ended(token, Outcome.NOT_SENT, 0.0)
     assert session.end is None and len(session.sent) == 2
     now = session.single.next_wake()
@@ -152,15 +154,15 @@
 
 
 def test_request_is_given_up_when_no_target_is_back_in_time(
-    board: TargetSelector, budget: RetryBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget, True)
+    session = Session(selector, budget, True)
     now, token = 0.0, 0
     while session.end is None:
         if token < len(session.sent):
             target = session.sent[token].target
-            board.sent(target, token, ROUTE, now)
-            board.ended(target, token, Outcome.NOT_SENT, None, now)
+            selector.sent(target, token, ROUTE, now)
+            selector.ended(target, token, Outcome.NOT_SENT, None, now)
             session.ended(token, Outcome.NOT_SENT, now)
             token += 1
             continue
--- a/tests/relay/test_target_selector.py
+++ b/tests/relay/test_target_selector.py
@@ -11,73 +11,75 @@
 FAR = target("far", "s", THERE)
 
 
-def make_board(*targets: Target) -> TargetSelector:
-    board = TargetSelector(HERE, seed=1)
-    board.set_targets({"s": targets}, 0.0)
-    return board
+def make_selector(*targets: Target) -> TargetSelector:
+    selector = TargetSelector(HERE, seed=1)
+    selector.set_targets({"s": targets}, 0.0)
+    return selector
 
 
 def record_answer(
-    board: TargetSelector, receiver: Target, now: float, took_s: float, load: Load | None = None
+    selector: TargetSelector, receiver: Target, now: float, took_s: float, load: Load | None = None
 ) -> None:
     token = object()
-    board.sent(receiver, token, ROUTE, now)
-    board.ended(receiver, token, Outcome.OK, load, now + took_s)
+    selector.sent(receiver, token, ROUTE, now)
+    selector.ended(receiver, token, Outcome.OK, load, now + took_s)
 
 
-def record_failure(board: TargetSelector, receiver: Target, now: float, outcome: Outcome) -> None:
+def record_failure(
+    selector: TargetSelector, receiver: Target, now: float, outcome: Outcome
+) -> None:
     token = object()
-    board.sent(receiver, token, ROUTE, now)
-    board.ended(receiver, token, outcome, None, now)
+    selector.sent(receiver, token, ROUTE, now)
+    selector.ended(receiver, token, outcome, None, now)
 
 
-def record_answers(board: TargetSelector, *targets: Target) -> None:
+def record_answers(selector: TargetSelector, *targets: Target) -> None:
     for number in range(30):
         for receiver in targets:
-            record_answer(board, receiver, number * 0.1, 0.02)
+            record_answer(selector, receiver, number * 0.1, 0.02)
 
 
-def ranking(board: TargetSelector, now: float) -> list[str]:
-    return [choice.target.instance for choice in board.rank("s", ROUTE, now)]
+def ranking(selector: TargetSelector, now: float) -> list[str]:
+    return [choice.target.instance for choice in selector.rank("s", ROUTE, now)]
 
 
 def test_near_target_comes_first() -> None:
-    board = make_board(FAR, NEAR)
-    record_answers(board, FAR, NEAR)
-    assert ranking(board, 4.0) == ["near", "far"]
+    selector = make_selector(FAR, NEAR)
+    record_answers(selector, FAR, NEAR)
+    assert ranking(selector, 4.0) == ["near", "far"]
 
 
 def test_single_pause_does_not_divert_work() -> None:
-    board = make_board(NEAR, FAR)
-    record_answers(board, NEAR, FAR)
-    record_answer(board, NEAR, 4.0, 0.27)
-    record_answer(board, NEAR, 4.3, 0.02)
-    assert ranking(board, 4.35)[0] == "near"
+    selector = make_selector(NEAR, FAR)
+    record_answers(selector, NEAR, FAR)
+    record_answer(selector, NEAR, 4.0, 0.27)
+    record_answer(selector, NEAR, 4.3, 0.02)
+    assert ranking(selector, 4.35)[0] == "near"
 
 
 def test_slow_target_is_avoided_and_tried_again() -> None:
-    board = make_board(NEAR, FAR)
-    record_answers(board, NEAR, FAR)
+    selector = make_selector(NEAR, FAR)
+    record_answers(selector, NEAR, FAR)
     for number in range(4):
-        record_answer(board, NEAR, 4.0 + number * 0.2, 0.18)
-    assert ranking(board, 4.9)[0] == "far"
-    assert ranking(board, 12.0)[0] == "near"
+        record_answer(selector, NEAR, 4.0 + number * 0.2, 0.18)
+    assert ranking(selector, 4.9)[0] == "far"
+    assert ranking(selector, 12.0)[0] == "near"
 
 
 def test_stalled_target_is_avoided_before_it_answers() -> None:
-    board = make_board(NEAR, FAR)
-    record_answers(board, NEAR, FAR)
-    board.sent(NEAR, object(), ROUTE, 4.0)
-    assert ranking(board, 4.01)[0] == "near"
-    assert ranking(board, 4.15)[0] == "far"
+    selector = make_selector(NEAR, FAR)
+    record_answers(selector, NEAR, FAR)
+    selector.sent(NEAR, object(), ROUTE, 4.0)
+    assert ranking(selector, 4.01)[0] == "near"
+    assert ranking(selector, 4.15)[0] == "far"
 
 
 def test_reported_load_counts_while_it_is_recent() -> None:
-    board = make_board(NEAR, FAR)
-    record_answers(board, NEAR, FAR)
-    record_answer(board, NEAR, 4.0, 0.02, Load(2, 10, 2))
-    assert ranking(board, 4.05)[0] == "far"
-    assert ranking(board, 5.0)[0] == "near"
+    selector = make_selector(NEAR, FAR)
+    record_answers(selector, NEAR, FAR)
+    record_answer(selector, NEAR, 4.0, 0.02, Load(2, 10, 2))
+    assert ranking(selector, 4.05)[0] == "far"
+    assert ranking(selector, 5.0)[0] == "near"
 
 
 @pytest.mark.parametrize(
@@ -93,13 +95,13 @@
 def test_failing_target_is_a_last_resort(
     outcome: Outcome, failures: int, last_resort: bool
 ) -> None:
-    board = make_board(NEAR)
-    record_answers(board, NEAR)
+    selector = make_selector(NEAR)
+    record_answers(selector, NEAR)
     for _ in range(failures):
-        record_failure(board, NEAR, 4.0, outcome)
-    (choice,) = board.rank("s", ROUTE, 4.01)
+        record_failure(selector, NEAR, 4.0, outcome)
+    (choice,) = selector.rank("s", ROUTE, 4.01)
     assert choice.last_resort is last_resort
-    (later,) = board.rank("s", ROUTE, 4.01 + MAX_EJECT_S)
+    (later,) = selector.rank("s", ROUTE, 4.01 + MAX_EJECT_S)
     assert not later.last_resort
 
 
@@ -112,39 +114,41 @@
     ],
 )
 def test_directory_state_limits_the_ranking(targets: list[Target], expected: list[str]) -> None:
-    assert ranking(make_board(*targets), 0.0) == expected
+    assert ranking(make_selector(*targets), 0.0) == expected
 
 
 def test_cold_target_ranks_behind_a_warm_one() -> None:
     cold = target("cold", "s")._replace(cold_until=5.0)
-    board = make_board(cold, target("warm", "s"))
-    record_answers(board, cold, target("warm", "s"))
-    assert ranking(board, 4.0)[0] == "warm"
-    assert {ranking(board, 6.0)[0] for _ in range(20)} == {"cold", "warm"}
+    selector = make_selector(cold, target("warm", "s"))
+    record_answers(selector, cold, target("warm", "s"))
+    assert ranking(selector, 4.0)[0] == "warm"
+    assert {ranking(selector, 6.0)[0] for _ in range(20)} == {"cold", "warm"}
 
 
 def test_age_of_a_withdrawn_request_counts_as_slowness() -> None:
-    board = make_board(NEAR, FAR)
-    record_answers(board, NEAR, FAR)
+    selector = make_selector(NEAR, FAR)
+    record_answers(selector, NEAR, FAR)
     for number in range(4):
         token = object()
-        board.sent(NEAR, token, ROUTE, 4.0 + number * 0.2)
-        board.withdrawn(NEAR, token, 4.18 + number * 0.2)
-    assert ranking(board, 4.9)[0] == "far"
+        selector.sent(NEAR, token, ROUTE, 4.0 + number * 0.2)
+        selector.withdrawn(NEAR, token, 4.18 + number * 0.2)
+    assert ranking(selector, 4.9)[0] == "far"
 
 
 def test_target_replaced_at_its_address_gets_no_requests() -> None:
     """A request to its address would be charged to the service that uses the address now."""
-    board = TargetSelector(HERE, 1)
+    selector = TargetSelector(HERE, 1)
     gone, other = target("gone", "s"), target("other", "s")
-    board.set_targets({"s": (gone, other)}, 0.0)
-    board.sent(gone, 1, ROUTE, 0.0)
-    board.ended(gone, 1, Outcome.ELSEWHERE, None, 0.01)
+    selector.set_targets({"s": (gone, other)}, 0.0)
+    selector.sent(gone, 1, ROUTE, 0.0)
+    selector.ended(gone, 1, Outcome.ELSEWHERE, None, 0.01)
     for number in range(3):
-        board.sent(other, number + 2, ROUTE, 0.1)
-        board.ended(other, number + 2, Outcome.NOT_SENT, None, 0.2)
-    ranked = [choice.target.instance for choice in board.rank("s", ROUTE, 5.0)]
+        selector.sent(other, number + 2, ROUTE, 0.1)
+        selector.ended(other, number + 2, Outcome.NOT_SENT, None, 0.2)
+    ranked = [choice.target.instance for choice in selector.rank("s", ROUTE, 5.0)]
     assert ranked == ["other"]
-    board.set_targets({"s": (gone,)}, 0.0)
-    assert not board.has_target_at("s", HERE, 5.0)
-    assert [choice.target for choice in board.rank("s", ROUTE, REPLACED_EJECT_S + 0.02)] == [gone]
+    selector.set_targets({"s": (gone,)}, 0.0)
+    assert not selector.has_target_at("s", HERE, 5.0)
+    assert [choice.target for choice in selector.rank("s", ROUTE, REPLACED_EJECT_S + 0.02)] == [
+        gone
+    ]
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -106,17 +106,17 @@
         wire = PlatformWire(self.loads)
         self.budget = RetryBudget(settings.budget, now)
         self.cold_limiter = ColdTargetLimiter(settings.cold, self.budget.sharers)
-        self.board = TargetSelector(place, os.getpid(), self.cold_limiter)
-        self.transport = TargetTransport(wire, self.board, steady_now, self.log)
+        self.selector = TargetSelector(place, os.getpid(), self.cold_limiter)
+        self.transport = TargetTransport(wire, self.selector, steady_now, self.log)
         self.down_reports = DownReportExchange(
-            self.hub, DownReports(self.board), self.transport, self.log
+            self.hub, DownReports(self.selector), self.transport, self.log
         )
         self.outbound_groups = OutboundGroups(self.hub, wire, self.log)
         self.quarantine = Quarantine(self.hub, PlatformHeldStore(self.store), self.log)
         tell_ends(self.transport, self.quarantine)
         self.inbound_groups = InboundGroups(
             self.hub,
-            self.board,
+            self.selector,
             self.budget,
             self.transport,
             self.outbound_groups,
@@ -125,7 +125,7 @@
         )
         self.relay = RelayService(
             wire,
-            self.board,
+            self.selector,
             self.budget,
             self.transport,
             self.outbound_groups,
@@ -215,7 +215,7 @@
         self._set_shards()
 
     def _take_targets(self, targets_by_service: dict[str, tuple[Target, ...]]) -> None:
-        self.board.set_targets(targets_by_service, steady_now())
+        self.selector.set_targets(targets_by_service, steady_now())
         targets = tuple(chain.from_iterable(targets_by_service.values()))
         self.transport.close_unknown({target.life for target in targets})
         self.transport.refuse_waiting({target.life for target in targets if target.barred})
@@ -228,7 +228,7 @@
             return
         routes = chain.from_iterable(table.routes_by_host.values())
         shards = frozenset(shard for route in routes for shard in route.shards)
-        self.budget.set_shards({shard: self.board.domains(shard) for shard in shards})
+        self.budget.set_shards({shard: self.selector.domains(shard) for shard in shards})
         cold_limit_by_service = {
             name: ColdLimit(rule.cold_per_s, rule.cold_s)
             for name, rule in table.service_by_name.items()
--- a/trackwheel/relay/attempts.py
+++ b/trackwheel/relay/attempts.py
@@ -121,7 +121,7 @@
 
     def choose(
         self,
-        board: TargetSelector,
+        selector: TargetSelector,
         budget: RetryBudget,
         route: RouteKey,
         now: float,
@@ -137,8 +137,8 @@
         # What may go to one target first has been to some already: the next attempt tries it.
         if passage is not Passage.OPEN or not self.may_run:
             return Refusal.NO_MORE
-        choices = self._rank(board, route, now)
-        if not choices and board.may_ask_soon(self._service, route, now):
+        choices = self._rank(selector, route, now)
+        if not choices and selector.may_ask_soon(self._service, route, now):
             return Refusal.NOT_NOW
         if not choices:
             return Refusal.NO_MORE
@@ -189,13 +189,13 @@
         if outcome is Outcome.NOT_SENT:
             self._arrivals -= 1
 
-    def _rank(self, board: TargetSelector, route: RouteKey, now: float) -> list[Candidate]:
+    def _rank(self, selector: TargetSelector, route: RouteKey, now: float) -> list[Candidate]:
         """Return targets to ask: those that were not tried, then those that did not run it."""
-        fresh = board.rank(self._service, route, now, self.tried, self._only_beside)
+        fresh = selector.rank(self._service, route, now, self.tried, self._only_beside)
         if fresh or self.target_by_token:
             return fresh
         ran = frozenset(self._tried - self._not_run_at)
-        return board.rank(self._service, route, now, ran, self._only_beside)
+        return selector.rank(self._service, route, now, ran, self._only_beside)
 
     def _pay(self, budget: RetryBudget, now: float, needed: bool) -> bool:
         if not self._counted:
--- a/trackwheel/relay/down_reports.py
+++ b/trackwheel/relay/down_reports.py
@@ -46,8 +46,8 @@
     that box is distrusted for a while: it may be the one that is cut off.
     """
 
-    def __init__(self, board: TargetSelector) -> None:
-        self._board = board
+    def __init__(self, selector: TargetSelector) -> None:
+        self._selector = selector
         self._reported_at_by_life: dict[Life, float] = {}
         self._reporter_by_life: dict[Life, _Reporter] = {}
         self._distrusted_until_by_box: dict[str, float] = {}
@@ -75,7 +75,7 @@
             return False
         failed_at = now - max(0.0, report.age_ms) / MILLISECONDS
         until = failed_at + REPORTED_DOWN_S
-        if until <= now or not self._board.report_down(report.life, failed_at, until):
+        if until <= now or not self._selector.report_down(report.life, failed_at, until):
             return False
         self._clean_up(now)
         self._reported_at_by_life[report.life] = now
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -45,19 +45,19 @@
     def __init__(
         self,
         plan: GatherPlan,
-        board: TargetSelector,
+        selector: TargetSelector,
         budget: RetryBudget,
         regrouping: Regrouping | None = None,
     ) -> None:
         self.plan = plan
-        self._board = board
+        self._selector = selector
         self._shards = ShardBook(plan)
         self._groups = HandedGroups()
         self.parts = PartsIn(plan.shards, plan.top_k)
         self._delegator = GroupDelegator(
-            plan, board, self._shards, self._groups, self.parts, regrouping
+            plan, selector, self._shards, self._groups, self.parts, regrouping
         )
-        self._requester = ShardRequester(plan, board, budget, self._shards, self._groups)
+        self._requester = ShardRequester(plan, selector, budget, self._shards, self._groups)
         self._peers_ran = False
         self._closings = Closings()
         self._commands: list[GatherCommand] = []
@@ -98,7 +98,9 @@
     def _hand_past_own(self, names: Sequence[str], now: float) -> set[str]:
         """Hand shards to peers beside targets of other failure domains; return which were."""
         for name in names:
-            beside = {t.instance for t in self._board.targets(name) if self._board.is_local(t)}
+            beside = {
+                t.instance for t in self._selector.targets(name) if self._selector.is_local(t)
+            }
             self._shards[name].attempts.pass_over(beside)
         handed = self._hand_elsewhere(names, False, now)
         for name in names:
@@ -111,11 +113,11 @@
 
         Where all are slow, as under too much load, shards stay: others would send theirs here.
         """
-        for choice in self._board.rank(name, self.plan.route, now, own_domain_only=True):
+        for choice in self._selector.rank(name, self.plan.route, now, own_domain_only=True):
             if not choice.last_resort and choice.cost_s < DECLINE_RESPONSE_TIMES * choice.usual_s:
                 return False
-        choices = self._board.rank(name, self.plan.route, now)
-        return bool(choices) and not self._board.is_local(choices[0].target)
+        choices = self._selector.rank(name, self.plan.route, now)
+        return bool(choices) and not self._selector.is_local(choices[0].target)
 
     def part_ended(
         self, token: int, end: TargetEnd, part: Part | None, now: float
--- a/trackwheel/relay/group_delegator.py
+++ b/trackwheel/relay/group_delegator.py
@@ -16,14 +16,14 @@
     def __init__(
         self,
         plan: GatherPlan,
-        board: TargetSelector,
+        selector: TargetSelector,
         shards: ShardBook,
         groups: HandedGroups,
         parts: PartsIn,
         regrouping: Regrouping | None,
     ) -> None:
         self._plan = plan
-        self._board = board
+        self._selector = selector
         self._shards = shards
         self._groups = groups
         self._parts = parts
@@ -39,7 +39,7 @@
             shard = self._shards[name]
             shard.groups.add(number)
             self._shards.asked(name)
-            local = {t.instance for t in self._board.targets(name) if t.place == group.place}
+            local = {t.instance for t in self._selector.targets(name) if t.place == group.place}
             if group.repeat:
                 shard.attempts.lend(local)
             else:
--- a/trackwheel/relay/grouping.py
+++ b/trackwheel/relay/grouping.py
@@ -34,11 +34,11 @@
     """Divide the shards of a query among this box and the peers beside their targets."""
 
     def __init__(
-        self, own: Place, own_address: str, board: TargetSelector, peer_tracker: PeerTracker
+        self, own: Place, own_address: str, selector: TargetSelector, peer_tracker: PeerTracker
     ) -> None:
         self._own = own
         self._own_address = own_address
-        self._board = board
+        self._selector = selector
         self._peer_tracker = peer_tracker
         self._peers: tuple[PeerBox, ...] = ()
         self._gathers = True
@@ -59,7 +59,7 @@
             self._own,
             self._gathers and route.allows(self._own.region),
             self._peers_for(route),
-            self._board,
+            self._selector,
             self._peer_tracker,
             now,
         )
@@ -80,7 +80,7 @@
         left = {
             shard
             for shard, tried in tried_by_shard.items()
-            if not (gathers and self._board.has_target_at(shard, self._own, now, tried))
+            if not (gathers and self._selector.has_target_at(shard, self._own, now, tried))
         }
         groups: list[ShardGroup] = []
         for peers_by_place in self._by_nearness(plan.route):
@@ -88,7 +88,7 @@
                 place: {
                     shard
                     for shard in left
-                    if self._board.has_target_at(shard, place, now, tried_by_shard[shard])
+                    if self._selector.has_target_at(shard, place, now, tried_by_shard[shard])
                 }
                 for place in peers_by_place
             }
@@ -161,9 +161,9 @@
 
     def _report_by(self, route: RouteKey, address: str, answer_at: float, now: float) -> float:
         """Return when a peer reports what is in: other targets can then still be asked."""
-        latest = answer_at - HEDGE_RESERVE_RESPONSE_TIMES * self._board.usual_s(route, far=True)
+        latest = answer_at - HEDGE_RESERVE_RESPONSE_TIMES * self._selector.usual_s(route, far=True)
         usual_s = self._peer_tracker.round_trip_s(address)
-        usual_s += HEDGE_MIN_RESPONSE_TIMES * self._board.usual_s(route, far=False)
+        usual_s += HEDGE_MIN_RESPONSE_TIMES * self._selector.usual_s(route, far=False)
         return max(latest, now + usual_s)
 
 
@@ -172,7 +172,7 @@
     own: Place,
     gathers: bool,
     peers: tuple[PeerBox, ...],
-    board: TargetSelector,
+    selector: TargetSelector,
     peer_tracker: PeerTracker,
     now: float,
 ) -> list[ShardGroup]:
@@ -182,12 +182,12 @@
     to a peer there. Domains of the own region come before others. What is left out is asked
     directly: shards with a target in the own domain, and single ones elsewhere.
     """
-    left = {shard for shard in shards if not (gathers and board.has_target_at(shard, own, now))}
+    left = {shard for shard in shards if not (gathers and selector.has_target_at(shard, own, now))}
     peers_by_place = _by_place(peer for peer in peers if peer.place != own or not gathers)
     groups: list[ShardGroup] = []
     for distance in range(FARTHEST + 1):
         held_by_place = {
-            place: {shard for shard in left if board.has_target_at(shard, place, now)}
+            place: {shard for shard in left if selector.has_target_at(shard, place, now)}
             for place in peers_by_place
             if _distance(place, own) == distance
         }
--- a/trackwheel/relay/inbound_groups.py
+++ b/trackwheel/relay/inbound_groups.py
@@ -122,7 +122,7 @@
     def __init__(
         self,
         hub: Hub,
-        board: TargetSelector,
+        selector: TargetSelector,
         budget: RetryBudget,
         transport: TargetTransport,
         groups: GroupSender,
@@ -131,7 +131,7 @@
     ) -> None:
         self._hub = hub
         self._quarantine = quarantine
-        self._board = board
+        self._selector = selector
         self._budget = budget
         self._transport = transport
         self._groups = groups
@@ -191,7 +191,7 @@
             repeat=message.repeat,
             gate=self._quarantine.gate(request.fingerprint, for_peer=True),
         )
-        return GatherTask(request, Gather(plan, self._board, self._budget))
+        return GatherTask(request, Gather(plan, self._selector, self._budget))
 
     def _group_finished(self, key: tuple[str, str], result: Gathered | GatherFailed) -> None:
         group = self._group_by_key.pop(key)
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -42,7 +42,7 @@
     def __init__(
         self,
         wire: Wire,
-        board: TargetSelector,
+        selector: TargetSelector,
         budget: RetryBudget,
         transport: TargetTransport,
         groups: OutboundGroups,
@@ -53,7 +53,7 @@
         address: str,
     ) -> None:
         self._wire = wire
-        self._board = board
+        self._selector = selector
         self._budget = budget
         self._transport = transport
         self._groups = groups
@@ -64,7 +64,7 @@
         self._divider = WeightedDivider()
         self._table: RouteTable | None = None
         self._startup_queue = StartupQueue(self.handle, self._refuse_without_routes)
-        self._planner = GroupPlanner(place, address, board, groups.peer_tracker)
+        self._planner = GroupPlanner(place, address, selector, groups.peer_tracker)
         self._links_timer = Timer(self._open_links)
 
     def set_table(self, table: RouteTable) -> None:
@@ -160,10 +160,10 @@
             if isinstance(result, SingleAnswered):
                 exchange.respond(self._wire.single_answer(result.answer))
                 return
-            warm_in_s = self._board.warm_in_s(plan.service, plan.route, steady_now())
+            warm_in_s = self._selector.warm_in_s(plan.service, plan.route, steady_now())
             self._refuse(exchange, result, max(RETRY_AFTER_S, warm_in_s))
 
-        single = Single(plan, self._board, self._budget)
+        single = Single(plan, self._selector, self._budget)
         run = SingleRun(caller, single, self._transport, done)
         exchange.on_gone = lambda: self._client_left(caller, route.name, run)
         run.start()
@@ -183,7 +183,7 @@
             self._log_end(caller, route, version, failed)
             self._refuse(exchange, failed)
 
-        single = Single(self._plan_single(caller, route, True), self._board, self._budget)
+        single = Single(self._plan_single(caller, route, True), self._selector, self._budget)
         run = SingleRun(caller, single, self._transport, done)
         exchange.on_gone = lambda: self._client_left(caller, route.name, run)
         run.start()
@@ -192,7 +192,7 @@
         self, caller: CallerRequest, route: Route, version: int, exchange: Exchange
     ) -> None:
         plan = self._plan_query(caller, route)
-        gather = Gather(plan, self._board, self._budget, self._planner)
+        gather = Gather(plan, self._selector, self._budget, self._planner)
 
         def done(result: Gathered | GatherFailed) -> None:
             self._log_end(caller, route, version, result)
--- a/trackwheel/relay/shard_requester.py
+++ b/trackwheel/relay/shard_requester.py
@@ -20,13 +20,13 @@
     def __init__(
         self,
         plan: GatherPlan,
-        board: TargetSelector,
+        selector: TargetSelector,
         budget: RetryBudget,
         shards: ShardBook,
         groups: HandedGroups,
     ) -> None:
         self._plan = plan
-        self._board = board
+        self._selector = selector
         self._budget = budget
         self._shards = shards
         self._groups = groups
@@ -53,7 +53,7 @@
     def _retry_at(self, soon: bool, now: float) -> float:
         """Return the time of the next retry of a shard that cannot be requested now."""
         paces = RETRY_DELAY_RESPONSE_TIMES if soon else LATE_RETRY_DELAY_RESPONSE_TIMES
-        return now + paces * self._board.usual_s(self._plan.route, far=False)
+        return now + paces * self._selector.usual_s(self._plan.route, far=False)
 
     def pop_ended(self, token: int) -> str | None:
         """Return the shard of a request that ended; None if the request was withdrawn."""
@@ -87,7 +87,7 @@
 
     def _no_target_reason(self, name: str, now: float) -> str:
         """Return why no target may be asked for a shard; empty if some were."""
-        reason = self._board.no_target_reason(name, self._plan.route, now)
+        reason = self._selector.no_target_reason(name, self._plan.route, now)
         return "" if reason is NoTargetReason.TRIED else reason.value
 
     def _is_needed(self, name: str) -> bool:
@@ -98,7 +98,7 @@
         """Return the request to one more target, or why none may be sent."""
         shard = self._shards[name]
         choices = shard.attempts.choose(
-            self._board, self._budget, self._plan.route, now, self._is_needed(name)
+            self._selector, self._budget, self._plan.route, now, self._is_needed(name)
         )
         if isinstance(choices, Refusal):
             return choices
--- a/trackwheel/relay/single.py
+++ b/trackwheel/relay/single.py
@@ -63,9 +63,9 @@
 class Single:
     """Decide, from events and the time, where one request goes and how it ends."""
 
-    def __init__(self, plan: SinglePlan, board: TargetSelector, budget: RetryBudget) -> None:
+    def __init__(self, plan: SinglePlan, selector: TargetSelector, budget: RetryBudget) -> None:
         self.plan = plan
-        self._board = board
+        self._selector = selector
         self._budget = budget
         self._attempts = Attempts(plan.service, plan.max_attempts, gate=plan.gate)
         self._next_token = 0
@@ -78,7 +78,7 @@
     def start(self, now: float) -> list[SingleCommand]:
         """Send the request to the best target."""
         if not self._ask("first", now) and not self._wait_for_rest(now):
-            lack = self._board.no_target_reason(self.plan.service, self.plan.route, now)
+            lack = self._selector.no_target_reason(self.plan.service, self.plan.route, now)
             self._fail(lack.value, False)
         return self._take_commands()
 
@@ -137,7 +137,7 @@
         """Send the request to one more target; return False when it may not or there is none."""
         if now >= self.plan.end_at:
             return False
-        choices = self._attempts.choose(self._board, self._budget, self.plan.route, now)
+        choices = self._attempts.choose(self._selector, self._budget, self.plan.route, now)
         if isinstance(choices, Refusal):
             return False
         token = self._next_token
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -58,9 +58,9 @@
 class TargetTransport:
     """Sends requests to targets and reports their outcomes to the selector."""
 
-    def __init__(self, wire: Wire, board: TargetSelector, clock: Clock, log: EventLog) -> None:
+    def __init__(self, wire: Wire, selector: TargetSelector, clock: Clock, log: EventLog) -> None:
         self._wire = wire
-        self._board = board
+        self._selector = selector
         self._clock = clock
         self._log = log
         self._pool_by_life: dict[Life, TargetPool] = {}
@@ -101,8 +101,8 @@
         """Send a request; `on_end` is called once unless the request is withdrawn."""
         target, request = attempt.target, attempt.request
         sent_at = self._clock()
-        self._board.sent(target, attempt.token, attempt.route, sent_at)
-        distance = "far" if self._board.is_far(target) else "near"
+        self._selector.sent(target, attempt.token, attempt.route, sent_at)
+        distance = "far" if self._selector.is_far(target) else "near"
         self.sent_by_reason[attempt.reason, distance] += 1
 
         def build() -> Request:
@@ -114,7 +114,7 @@
         def ended(end: ExchangeEnd) -> None:
             result = self._to_target_end(end, attempt.single)
             self.ended_by_outcome[(result.outcome.value,)] += 1
-            availability = self._board.ended(
+            availability = self._selector.ended(
                 target, attempt.token, result.outcome, result.load, self._clock(), result.cold_s
             )
             self._log_end(attempt, result, availability, sent_at)
@@ -128,7 +128,7 @@
 
     def withdraw(self, token: object, target: Target, fingerprint: bytes) -> None:
         """Withdraw a request."""
-        self._board.withdrawn(target, token, self._clock())
+        self._selector.withdrawn(target, token, self._clock())
         pool = self._pool_by_life.get(target.life)
         if pool is not None and pool.cancel(token):
             for handler in self._on_withdrawn:
@@ -163,7 +163,7 @@
                 target=target.instance,
                 service=target.service,
                 ran_ms=round((self._clock() - sent_at) * MILLISECONDS, 1),
-                others_here=self._board.in_flight(target),
+                others_here=self._selector.in_flight(target),
             )
         if availability is not None:
             self._log.write(
