--- a/trackwheel/relay/down_reports.py
+++ b/trackwheel/relay/down_reports.py
@@ -11,7 +11,7 @@
 class TargetDown(NamedTuple):
     """Report that a connection to a target failed `age_ms` before this was sent.
 
-    `born_ms` is the target's start time (Unix milliseconds); later incarnations are not concerned.
+    `born_ms` is the target's start time (Unix milliseconds); it says nothing of later incarnations.
     """
 
     instance: str
@@ -36,7 +36,7 @@
 
 
 class DownReports:
-    """Decide which failed connections to report to other boxes, and which reports to believe.
+    """Decides which failed connections to report to other boxes, and which reports to apply.
 
     When a third of a fleet's targets end or are replaced at once, each box that sends them requests
     would otherwise detect each of them on its own: 2,031 failed connections in a day on 195 boxes,
--- a/trackwheel/relay/group_delegator.py
+++ b/trackwheel/relay/group_delegator.py
@@ -66,7 +66,7 @@
         return self._shards.in_group(self._groups[number].plan.shards, number)
 
     def _spare_of(self, group: GroupPlan) -> int:
-        """Return how many shards of a group may be missing: its part of the query's number."""
+        """Return how many shards of a group may be missing, in proportion to its size."""
         if group.repeat:
             return 0
         return self._shards.spare * len(group.shards) // len(self._plan.shards)
--- a/trackwheel/relay/inbound_groups.py
+++ b/trackwheel/relay/inbound_groups.py
@@ -85,8 +85,7 @@
         assert self._run is not None, "a group reports only after its gather was started"
         signature_by_shard, records = self._run.task.gather.parts.take_unreported()
         if self.forward.repeat:
-            # Other boxes were asked for these shards too: the sender uses whichever part is first,
-            # which it can do only with parts that are not merged.
+            # The shards were requested elsewhere too: the sender uses whichever part arrives first.
             for (name, signature), part in zip(signature_by_shard.items(), records, strict=True):
                 self._send({name: signature}, [part], False)
             signature_by_shard, records = {}, []
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -133,7 +133,7 @@
         )
 
     def _plan_single(self, caller: CallerRequest, route: Route, one_target: bool) -> SinglePlan:
-        """Return the plan for a request to one target; with `one_target`, for a single attempt."""
+        """Return the plan for one target at a time; with `one_target`, for a single attempt."""
         return SinglePlan(
             route=RouteKey(route.name, route.aim_s, route.homes),
             service=route.shards[0] if route.shards else self._divider.pick(route),
