--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -47,19 +47,19 @@
 SHARDS = "tests/relay/test_gather.py::"
 HOMES = "tests/relay/test_homes.py::"
 COLD = "tests/relay/test_cold.py::"
-LIVES = "tests/relay/test_lives.py::"
+INCARNATIONS = "tests/relay/test_incarnations.py::"
 ENTRIES = "tests/platform/test_entries.py::"
 EVACUATED = "tests/directory/test_evacuations.py::"
 PARTS_IN = "tests/relay/test_parts.py::"
 SINGLE = "tests/relay/test_single.py::"
 REPEATS = "tests/relay/test_budget.py::"
-CHOICE = "tests/relay/test_board.py::"
+CHOICE = "tests/relay/test_target_selector.py::"
 HTTP_TARGET = "tests/http1/test_client.py::"
 HTTP_CLIENT = "tests/http1/test_server.py::"
 DIRECTORY = "tests/directory/test_targets.py::"
 WATCHING = "tests/directory/test_watcher_election.py::"
 OUTAGE = "tests/directory/test_store_outage.py::"
-NEWS = "tests/relay/test_news.py::"
+DOWN_REPORTS = "tests/relay/test_down_reports.py::"
 CRASHING = "tests/whole/test_crashing_request.py::"
 CRASHING_QUERY = "tests/relay/test_crashing_query.py::"
 SUSPECTS = "tests/quarantine/test_suspects.py::"
@@ -702,8 +702,12 @@
         PLATFORM,
         BUDGET,
         "a box asks targets in the place of another one that used its part",
-        REPEATS + "test_box_that_takes_the_place_of_another_waits_for_a_window",
-        Mutant("trackwheel/relay/askers.py", " or self._is_new(self._gathers_since, now)", ""),
+        REPEATS + "test_new_gatherer_has_no_share_for_a_window",
+        Mutant(
+            "trackwheel/relay/allowance_sharers.py",
+            " or self._is_new(self._gathers_since, now)",
+            "",
+        ),
     ),
     Row(
         PLATFORM,
@@ -824,7 +828,7 @@
         PLATFORM,
         BUDGET,
         "1 to 60 boxes at three rates, every window",
-        REPEATS + "test_all_boxes_together_stay_within_the_rule",
+        REPEATS + "test_all_boxes_together_stay_within_the_limit",
         Mutant(
             "trackwheel/relay/budget.py",
             "return allowance / members",
@@ -835,10 +839,10 @@
         PLATFORM,
         BUDGET,
         "boxes are killed and come back, each thinking that it is alone",
-        REPEATS + "test_members_that_come_anew_fit_under_the_rule",
+        REPEATS + "test_restarted_boxes_stay_within_the_limit",
         Mutant(
-            "trackwheel/relay/askers.py",
-            "0 if self._is_new(self._born, now) else ",
+            "trackwheel/relay/allowance_sharers.py",
+            "0 if self._is_new(self._started_at, now) else ",
             "",
         ),
     ),
@@ -846,10 +850,10 @@
         PLATFORM,
         BUDGET,
         "a target's address was given to another service",
-        CHOICE + "test_target_whose_address_another_one_has_is_not_even_a_last_resort",
+        CHOICE + "test_target_replaced_at_its_address_gets_no_requests",
         Mutant(
             "trackwheel/relay/record.py",
-            "self.ejected_until = self.gone_until = now + GONE_S",
+            "self.ejected_until = self.gone_until = now + REPLACED_EJECT_S",
             "pass",
         ),
     ),
@@ -958,9 +962,9 @@
         PLATFORM,
         MEMBERSHIP,
         "a target dies; false, old and repeated news of it",
-        NEWS + "test_news_of_others",
+        DOWN_REPORTS + "test_reports_of_other_boxes",
         Mutant(
-            "trackwheel/relay/board.py",
+            "trackwheel/relay/target_selector.py",
             "if record.answered_at >= failed_at or record.reported_down_until >= until:",
             "if record.reported_down_until >= until:",
         ),
@@ -1038,7 +1042,7 @@
         "all targets of a shard refuse it, with time left",
         SHARDS + "test_shard_that_all_targets_refused_is_asked_again_within_the_aim",
         Mutant(
-            "trackwheel/relay/asking.py",
+            "trackwheel/relay/shard_requester.py",
             "elif refusal is Refusal.NOT_NOW and not self._plan.repeat:",
             "elif False:",
         ),
@@ -1050,7 +1054,7 @@
         SHARDS + "test_shards_that_may_lack_leave_a_reserve",
         Mutant(
             "trackwheel/relay/budget.py",
-            "            allowed *= 1.0 - RESERVE_FOR_NEEDED\n",
+            "            allowed *= 1.0 - BUDGET_RESERVE_SHARE\n",
             "            pass\n",
         ),
     ),
@@ -1119,9 +1123,9 @@
         PLATFORM,
         IN_HOMES,
         "targets in homes and outside, at the first choice",
-        HOMES + "test_choice_is_among_the_targets_of_the_homes",
+        HOMES + "test_only_targets_in_the_homes_are_ranked",
         Mutant(
-            "trackwheel/relay/board.py",
+            "trackwheel/relay/target_selector.py",
             "            if route.allows(target.place.region)\n            if self._may_ask",
             "            if self._may_ask",
         ),
@@ -1210,10 +1214,10 @@
         PLATFORM,
         COLD_BOUND,
         "two hundred requests a second from each of several boxes",
-        COLD + "test_all_boxes_together_keep_the_bound_in_every_second",
+        COLD + "test_all_boxes_together_keep_the_limit_in_every_second",
         Mutant(
             "trackwheel/relay/cold.py",
-            "return len(self._recent(target, now)) < self.part(target, now)",
+            "return len(self._recent_sends(target, now)) < self.share(target, now)",
             "return True",
         ),
     ),
@@ -1221,16 +1225,18 @@
         PLATFORM,
         COLD_BOUND,
         "all cuts of up to eight boxes in two, with all views that each half may have",
-        COLD + "test_two_views_of_the_fleet_keep_the_bound_together",
-        Mutant("trackwheel/relay/cold.py", "VIEWS: Final = 2", "VIEWS: Final = 1"),
+        COLD + "test_partitioned_fleet_keeps_the_limit",
+        Mutant(
+            "trackwheel/relay/cold.py", "MAX_FLEET_VIEWS: Final = 2", "MAX_FLEET_VIEWS: Final = 1"
+        ),
     ),
     Row(
         PLATFORM,
         COLD_BOUND,
         "boxes restart or take over four times in a row",
-        COLD + "test_boxes_that_begin_have_no_part_while_those_before_may_have_used_it",
+        COLD + "test_new_gatherers_have_no_share_while_earlier_ones_may_have_used_it",
         Mutant(
-            "trackwheel/relay/askers.py",
+            "trackwheel/relay/allowance_sharers.py",
             "return now - since < self._window_s",
             "return False",
         ),
@@ -1239,10 +1245,10 @@
         PLATFORM,
         COLD_BOUND,
         "an evacuation is taken back, and targets started anew in it",
-        COLD + "test_targets_whose_evacuation_was_taken_back_are_thought_cold",
+        COLD + "test_targets_are_cold_after_an_evacuation_ends",
         Mutant(
-            "trackwheel/relay/board.py",
-            "            self._doubt_returned(chain.from_iterable(before.values()), now)\n",
+            "trackwheel/relay/target_selector.py",
+            "            self._assume_returned_cold(chain.from_iterable(before.values()), now)\n",
             "            pass\n",
         ),
     ),
@@ -1261,7 +1267,7 @@
         PLATFORM,
         ONE_LIFE,
         "a target fails in each way and starts again under its name",
-        LIVES + "test_failures_of_the_earlier_life_end_with_it",
+        INCARNATIONS + "test_failures_of_an_earlier_incarnation_do_not_count",
         Mutant(
             "trackwheel/relay/models.py",
             "return self.instance, self.born_ms",
@@ -1272,15 +1278,15 @@
         PLATFORM,
         ONE_LIFE,
         "entries of two lives in any order",
-        LIVES + "test_newest_life_is_known_in_any_order_of_news",
+        INCARNATIONS + "test_newest_incarnation_wins_in_any_order_of_updates",
     ),
     Row(
         PLATFORM,
         ONE_LIFE,
         "news of the earlier life, before and after the new entry",
-        LIVES + "test_news_of_the_earlier_life_say_nothing_of_the_new_one",
+        INCARNATIONS + "test_reports_on_an_earlier_incarnation_do_not_affect_the_new_one",
         Mutant(
-            "trackwheel/relay/news.py",
+            "trackwheel/relay/down_reports.py",
             "return self.instance, self.born_ms",
             "return self.instance, 9_000",
         ),
@@ -1323,7 +1329,7 @@
         HELD,
         "a query, a look-up, one that may run only once, sent again at each box",
         CRASHING + "test_request_under_which_three_targets_ended_goes_to_no_more",
-        Mutant("trackwheel/relay/service.py", "if waits_s <= 0.0:", "if True:"),
+        Mutant("trackwheel/relay/service.py", "if retry_after_s <= 0.0:", "if True:"),
     ),
     Row(
         PLATFORM,
@@ -1535,7 +1541,7 @@
         SUSPENDED,
         "a timer that was due meanwhile",
         CLOCK + "test_timer_that_was_due_while_suspended_fires_soon_after",
-        Mutant("trackwheel/relay/timer.py", "if delay_s > LONGEST_SLEEP_S:", "if False:"),
+        Mutant("trackwheel/relay/timer.py", "if delay_s > MAX_SLEEP_S:", "if False:"),
     ),
     Row(
         PLATFORM,
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -5,16 +5,16 @@
 import pytest
 
 from trackwheel.http1.models import Response
-from trackwheel.relay.board import Board
-from trackwheel.relay.budget import BudgetRule, RepeatBudget
+from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 from trackwheel.relay.models import Load, Outcome, Place, RouteKey, Target, TargetResult
+from trackwheel.relay.target_selector import TargetSelector
 
 HERE = Place("here", "here-a")
 THERE = Place("there", "there-a")
 ROUTE = RouteKey("r", 0.2)
 OLD = -100.0
 """Start time of a box that has been running for long (monotonic seconds)."""
-BoardMaker = Callable[..., Board]
+SelectorMaker = Callable[..., TargetSelector]
 
 
 def target(
@@ -35,10 +35,10 @@
 
 
 @pytest.fixture
-def board() -> Board:
-    """Return a board with shards s0 to s9, each with one near and one far target."""
-    board = Board(HERE, seed=1)
-    board.set_targets(
+def selector() -> TargetSelector:
+    """Return a selector with shards s0 to s9, each with one near and one far target."""
+    selector = TargetSelector(HERE, seed=1)
+    selector.set_targets(
         {
             f"s{number}": (target(f"s{number}-near", f"s{number}"),)
             + (target(f"s{number}-far", f"s{number}", THERE),)
@@ -46,18 +46,18 @@
         },
         0.0,
     )
-    return board
+    return selector
 
 
 @pytest.fixture
-def budget() -> RepeatBudget:
+def budget() -> RetryBudget:
     """Return a budget that is never exhausted."""
-    budget = RepeatBudget(BudgetRule(10.0, 10.0, 1000.0), OLD)
+    budget = RetryBudget(RetryBudgetLimits(10.0, 10.0, 1000.0), OLD)
     budget.set_members(1, 0.0)
     return budget
 
 
 @pytest.fixture
-def no_budget() -> RepeatBudget:
+def no_budget() -> RetryBudget:
     """Return a budget that allows no repeat."""
-    return RepeatBudget(BudgetRule(0.0, 10.0, 0.0), OLD)
+    return RetryBudget(RetryBudgetLimits(0.0, 10.0, 0.0), OLD)
--- a/tests/relay/test_crashing_query.py
+++ b/tests/relay/test_crashing_query.py
@@ -8,12 +8,12 @@
 
 from tests.relay.conftest import ROUTE, THERE, target_result
 from tests.relay.test_gather import ANSWER_AT, GROUP, SHARDS, Session, SinglePeerRegrouper
-from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.gather import CRASHES_TARGETS
 from trackwheel.relay.gather_models import Gathered, GatherFailed
 from trackwheel.relay.models import Outcome, SendPermission
 from trackwheel.relay.single import Single, SingleFailed, SinglePlan
+from trackwheel.relay.target_selector import TargetSelector
 
 
 class Gate:
@@ -27,9 +27,9 @@
 
 
 def test_second_targets_are_spared_while_nothing_has_answered(
-    board: Board, budget: RepeatBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget)
+    session = Session(selector, budget)
     for shard in SHARDS[:-1]:
         session.fail(shard, Outcome.CLOSED)
         session.tick(session.gather.next_wake())
@@ -41,27 +41,27 @@
 
 
 def test_second_target_is_asked_once_another_shard_is_in(
-    board: Board, budget: RepeatBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget)
+    session = Session(selector, budget)
     session.answer("s1")
     session.fail("s0", Outcome.CLOSED)
     assert session.sent[-1].target.instance == "s0-far"
 
 
 def test_second_target_is_asked_when_nothing_else_is_awaited(
-    board: Board, budget: RepeatBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
-    session = Session(board, budget)
+    session = Session(selector, budget)
     for shard in SHARDS:
         session.fail(shard, Outcome.CLOSED)
     assert session.sent[-1].target.instance == f"{SHARDS[-1]}-far"
 
 
 def test_query_whose_every_target_ended_is_given_up_with_the_next_look(
-    board: Board, no_budget: RepeatBudget
+    selector: TargetSelector, no_budget: RetryBudget
 ) -> None:
-    session = Session(board, no_budget)
+    session = Session(selector, no_budget)
     for shard in SHARDS:
         session.fail(shard, Outcome.CLOSED)
     looked_at = session.gather.next_wake()
@@ -72,10 +72,10 @@
 
 
 def test_peer_under_which_targets_ended_makes_the_query_wait(
-    board: Board, budget: RepeatBudget
+    selector: TargetSelector, budget: RetryBudget
 ) -> None:
     regrouper = SinglePeerRegrouper()
-    session = Session(board, budget, groups=(GROUP,), regrouper=regrouper)
+    session = Session(selector, budget, groups=(GROUP,), regrouper=regrouper)
     session.take(session.gather.group_parts(0, {}, [], False, True, 0.05, closed=3))
     assert len(session.groups) == 1
     session.answer("s5", 0.06)
@@ -85,9 +85,11 @@
 
 
 @pytest.mark.parametrize("partial", [False, True], ids=["client's", "peer's"])
-def test_held_query_ends_at_once(board: Board, budget: RepeatBudget, partial: bool) -> None:
+def test_held_query_ends_at_once(
+    selector: TargetSelector, budget: RetryBudget, partial: bool
+) -> None:
     gate = Gate()
-    session = Session(board, budget, partial=partial, gate=gate)
+    session = Session(selector, budget, partial=partial, gate=gate)
     gate.now = SendPermission.SHUT
     session.fail("s0", Outcome.CLOSED)
     assert not session.open
@@ -100,10 +102,12 @@
     assert len(session.sent) == len(SHARDS)
 
 
-def test_suspect_is_asked_nowhere_until_it_is_cleared(board: Board, budget: RepeatBudget) -> None:
+def test_suspect_is_asked_nowhere_until_it_is_cleared(
+    selector: TargetSelector, budget: RetryBudget
+) -> None:
     gate = Gate()
     regrouper = SinglePeerRegrouper()
-    session = Session(board, budget, gate=gate, regrouper=regrouper)
+    session = Session(selector, budget, gate=gate, regrouper=regrouper)
     gate.now = SendPermission.WAIT
     session.answer("s1")
     session.fail("s0", Outcome.CLOSED)
@@ -126,10 +130,10 @@
     ],
 )
 def test_request_to_one_target_is_not_sent_again(
-    board: Board, budget: RepeatBudget, permission: SendPermission, sends: int
+    selector: TargetSelector, budget: RetryBudget, permission: SendPermission, sends: int
 ) -> None:
     gate = Gate()
-    single = Single(SinglePlan(ROUTE, "s0", True, 3, 0.18, 1.0, gate), board, budget)
+    single = Single(SinglePlan(ROUTE, "s0", True, 3, 0.18, 1.0, gate), selector, budget)
     single.start(0.0)
     gate.now = permission
     commands = single.target_ended(0, target_result(Outcome.CLOSED), 0.02)
--- a/tests/relay/test_groups.py
+++ b/tests/relay/test_outbound_groups.py
@@ -1,4 +1,4 @@
-"""Messages between boxes about groups of shards, against a hub that only notes them."""
+"""Messages of peers about groups of shards, with a hub that only records handlers."""
 
 from collections.abc import Callable
 from types import SimpleNamespace
@@ -8,19 +8,19 @@
 
 from tests.relay.conftest import HERE, ROUTE
 from trackwheel.peers.models import PeerIdentity
-from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan, SendGroup
-from trackwheel.relay.groups import PeerGroups
+from trackwheel.relay.outbound_groups import OutboundGroups
 from trackwheel.relay.peers import GroupDeclined, GroupParts
+from trackwheel.relay.target_selector import TargetSelector
 
 PEER = PeerIdentity("box-2", "boot", "peer:1", "here", "here-a")
 GROUP = GroupPlan("peer:1", HERE, ("s0", "s1"), 0.06, 0.08)
 
 
 class FakeHub:
-    """Note who takes which message."""
+    """Records the handler of each message type."""
 
     def __init__(self) -> None:
         self.handler_by_type: dict[type[Any], Callable[[PeerIdentity, Any], None]] = {}
@@ -47,17 +47,17 @@
         pytest.param(GroupDeclined("0", [7]), id="declined-out-of-range"),
     ],
 )
-def test_message_about_other_shards_is_passed_over(
-    board: Board, budget: RepeatBudget, message: GroupParts | GroupDeclined
+def test_message_about_other_shards_is_rejected(
+    selector: TargetSelector, budget: RetryBudget, message: GroupParts | GroupDeclined
 ) -> None:
-    """It once ended the task of the link, and with it everything between the two boxes."""
+    """Without the check it ended the link's task, and so all traffic between the two boxes."""
     events: list[str] = []
     log = SimpleNamespace(write=lambda kind, **fields: events.append(kind))
     hub = FakeHub()
     wire = SimpleNamespace(forwarded_headers=lambda http: ())
-    groups = PeerGroups(hub, wire, log)  # type: ignore[arg-type]
+    groups = OutboundGroups(hub, wire, log)  # type: ignore[arg-type]
     plan = GatherPlan(ROUTE, GROUP.shards, 3, (GROUP,), 1.0, 2, 0.2, 1.0, False)
-    gather = Gather(plan, board, budget)
+    gather = Gather(plan, selector, budget)
     http = SimpleNamespace(method=b"GET", target=b"/", body=b"")
     request = SimpleNamespace(request_id="r", host="h", path="/", deadline=1.0, http=http)
     run: Any = SimpleNamespace(
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -1,4 +1,4 @@
-"""What the relay answers, and writes, before it knows any configuration."""
+"""Responses and log lines of the relay before it has a configuration."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 from trackwheel.platform.decode import decode_routes
 from trackwheel.platform.load import LoadReader
 from trackwheel.platform.wire import PlatformWire
-from trackwheel.relay.const import EARLY_WAIT_S
+from trackwheel.relay.const import STARTUP_WAIT_S
 from trackwheel.relay.service import RelayService
 
 HEADERS = ((b"x-attempt-id", b"r1"), (b"x-deadline-ms", b"500"))
@@ -21,14 +21,14 @@
 
 
 class Fixture:
-    """A relay without a configuration, a client of it, and what both have seen."""
+    """A relay without a configuration, its log events and its responses."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, dict[str, Any]]] = []
         self.answers: list[Response] = []
         log: Any = SimpleNamespace(write=lambda kind, **fields: self.events.append((kind, fields)))
         part: Any = None
-        groups: Any = SimpleNamespace(peer_board=None)
+        groups: Any = SimpleNamespace(peer_tracker=None)
         wire = PlatformWire(LoadReader(log))
         self.relay = RelayService(wire, part, part, part, groups, part, log, part, HERE, "o:1")
 
@@ -39,7 +39,7 @@
 
 
 class ClientExchange:
-    """Note the answer of one request."""
+    """Records the response to one request."""
 
     def __init__(self, answers: list[Response]) -> None:
         self.respond = answers.append
@@ -47,13 +47,13 @@
 
 
 def test_request_before_any_configuration_is_refused_soon_and_logged() -> None:
-    """It once was refused without a line, so that nobody could find its cause."""
+    """Without the log line, nobody could find the cause of the refusal."""
     fixture = Fixture()
 
     async def scenario() -> None:
         await fixture.ask()
         assert not fixture.answers
-        await asyncio.sleep(EARLY_WAIT_S * 1.5)
+        await asyncio.sleep(STARTUP_WAIT_S * 1.5)
 
     asyncio.run(scenario())
     (answer,) = fixture.answers
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("leaves", [False, True], ids=["waits", "leaves"])
 def test_request_that_waits_is_served_by_the_first_configuration(leaves: bool) -> None:
-    """Thirty-five of three thousand requests came back late after a start of the whole fleet."""
+    """Without the wait, 35 of 3,100 requests were retried late after a start of the fleet."""
     fixture = Fixture()
 
     async def scenario() -> None:
@@ -78,14 +78,16 @@
         if leaves:
             exchange.on_gone()
         fixture.relay.set_table(decode_routes(json.dumps(CONFIG).encode()).unwrap())
-        await asyncio.sleep(EARLY_WAIT_S * 1.5)
+        await asyncio.sleep(STARTUP_WAIT_S * 1.5)
 
     asyncio.run(scenario())
     assert [answer.status for answer in fixture.answers] == ([] if leaves else [404])
 
 
-def test_too_many_that_wait_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("trackwheel.relay.early.EARLY_HELD", 1)
+def test_requests_beyond_the_queue_limit_are_refused_at_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr("trackwheel.relay.startup_queue.STARTUP_MAX_WAITING", 1)
     fixture = Fixture()
 
     async def scenario() -> None:
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -35,18 +35,18 @@
 from trackwheel.platform.wire import PlatformWire
 from trackwheel.quarantine.models import QUARANTINE_MESSAGES
 from trackwheel.quarantine.service import Quarantine
-from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
-from trackwheel.relay.cold import ColdAllowance, ColdService
+from trackwheel.relay.budget import RetryBudget
+from trackwheel.relay.cold import ColdLimit, ColdTargetLimiter
+from trackwheel.relay.down_report_exchange import DownReportExchange
+from trackwheel.relay.down_reports import DOWN_REPORT_MESSAGES, DownReports
 from trackwheel.relay.gatherers import choose_gatherers
-from trackwheel.relay.groups import PeerGroups
+from trackwheel.relay.inbound_groups import InboundGroups
 from trackwheel.relay.models import Place, Target
-from trackwheel.relay.news import NEWS_MESSAGES, TargetNews
+from trackwheel.relay.outbound_groups import OutboundGroups
 from trackwheel.relay.outcomes import report_outcomes
 from trackwheel.relay.peers import RELAY_MESSAGES, PeerBox
 from trackwheel.relay.service import RelayService
-from trackwheel.relay.taken import TakenGroups
-from trackwheel.relay.telling import TargetTelling
+from trackwheel.relay.target_selector import TargetSelector
 from trackwheel.relay.transport import TargetTransport
 from trackwheel.routing.models import Limits, RouteTable
 from trackwheel.telemetry.events import EventLog
@@ -56,7 +56,7 @@
     *FLEET_MESSAGES,
     *DIRECTORY_MESSAGES,
     *RELAY_MESSAGES,
-    *NEWS_MESSAGES,
+    *DOWN_REPORT_MESSAGES,
     *QUARANTINE_MESSAGES,
 )
 
@@ -104,29 +104,31 @@
         )
         self.loads = LoadReader(self.log)
         wire = PlatformWire(self.loads)
-        self.budget = RepeatBudget(settings.budget, now)
-        self.cold = ColdAllowance(settings.cold, self.budget.askers)
-        self.board = Board(place, os.getpid(), self.cold)
-        self.transport = TargetTransport(wire, self.board, steady_now, self.log)
-        self.telling = TargetTelling(self.hub, TargetNews(self.board), self.transport, self.log)
-        self.groups = PeerGroups(self.hub, wire, self.log)
+        self.budget = RetryBudget(settings.budget, now)
+        self.cold_limiter = ColdTargetLimiter(settings.cold, self.budget.sharers)
+        self.selector = TargetSelector(place, os.getpid(), self.cold_limiter)
+        self.transport = TargetTransport(wire, self.selector, steady_now, self.log)
+        self.down_reports = DownReportExchange(
+            self.hub, DownReports(self.selector), self.transport, self.log
+        )
+        self.outbound_groups = OutboundGroups(self.hub, wire, self.log)
         self.quarantine = Quarantine(self.hub, PlatformHeldStore(self.store), self.log)
         report_outcomes(self.transport, self.quarantine)
-        self.taken = TakenGroups(
+        self.inbound_groups = InboundGroups(
             self.hub,
-            self.board,
+            self.selector,
             self.budget,
             self.transport,
-            self.groups,
+            self.outbound_groups,
             self.quarantine,
             self.log,
         )
         self.relay = RelayService(
             wire,
-            self.board,
+            self.selector,
             self.budget,
             self.transport,
-            self.groups,
+            self.outbound_groups,
             self.quarantine,
             self.log,
             self.figures,
@@ -166,7 +168,7 @@
     @property
     def busy(self) -> bool:
         """Return whether anything is under way here."""
-        return bool(self.clients.busy or self.taken)
+        return bool(self.clients.busy or self.inbound_groups)
 
     def stop(self) -> None:
         """Begin to stop: take no new clients, go on with those who are here."""
@@ -195,7 +197,7 @@
         others = [box for box in boxes if box.address != own.address]
         gathers = own.address in gatherers
         self.relay.set_peers(tuple(box for box in others if box.address in gatherers), gathers)
-        self.telling.set_boxes(
+        self.down_reports.set_boxes(
             box.address
             for box in others
             if box.address in gatherers and box.place.failure_domain == own.failure_domain
@@ -213,10 +215,10 @@
         self._set_shards()
 
     def _take_targets(self, targets_by_service: dict[str, tuple[Target, ...]]) -> None:
-        self.board.set_targets(targets_by_service, steady_now())
+        self.selector.set_targets(targets_by_service, steady_now())
         targets = tuple(chain.from_iterable(targets_by_service.values()))
-        self.transport.keep_only({target.incarnation for target in targets})
-        self.transport.bar({target.incarnation for target in targets if target.barred})
+        self.transport.close_unknown({target.incarnation for target in targets})
+        self.transport.refuse_waiting({target.incarnation for target in targets if target.barred})
         self._set_shards()
 
     def _set_shards(self) -> None:
@@ -226,12 +228,12 @@
             return
         routes = chain.from_iterable(table.routes_by_host.values())
         shards = frozenset(shard for route in routes for shard in route.shards)
-        self.budget.set_shards({shard: self.board.domains(shard) for shard in shards})
-        cold_by_service = {
-            name: ColdService(rule.cold_per_s, rule.cold_s)
+        self.budget.set_shards({shard: self.selector.domains(shard) for shard in shards})
+        cold_limit_by_service = {
+            name: ColdLimit(rule.cold_per_s, rule.cold_s)
             for name, rule in table.service_by_name.items()
         }
-        self.cold.set_services(cold_by_service, shards)
+        self.cold_limiter.set_limits(cold_limit_by_service, shards)
 
     def _set_connection_limits(self) -> None:
         table = self.directory.table
--- a/trackwheel/platform/settings.py
+++ b/trackwheel/platform/settings.py
@@ -4,8 +4,8 @@
 from typing import Final, NamedTuple
 
 from trackwheel.errors import Problem, TrackwheelError
-from trackwheel.relay.budget import BudgetRule
-from trackwheel.relay.cold import ColdRule
+from trackwheel.relay.budget import RetryBudgetLimits
+from trackwheel.relay.cold import ColdLimitMargin
 from trackwheel.relay.models import Place
 from trackwheel.settings import split_address
 from trackwheel.units import MILLISECONDS
@@ -34,8 +34,8 @@
     """How fast its processor is, in cores of which one is all that a process may use."""
     grace_s: float
     drain_s: float
-    budget: BudgetRule
-    cold: ColdRule
+    budget: RetryBudgetLimits
+    cold: ColdLimitMargin
 
 
 class _Lines:
@@ -117,13 +117,13 @@
         speed=lines.positive("limits.cpu_share", 1.0) * lines.positive("limits.cores", 1.0),
         grace_s=lines.number("bounds.grace_s"),
         drain_s=lines.number("bounds.drain_ms") / MILLISECONDS,
-        budget=BudgetRule(
+        budget=RetryBudgetLimits(
             lines.number("bounds.retry_budget_ratio"),
             lines.number("bounds.retry_window_s"),
             lines.number("bounds.retry_extra"),
         ),
         # Without a word on slack, cold targets get what they bear and no more.
-        cold=ColdRule(
+        cold=ColdLimitMargin(
             lines.positive("bounds.warmup_overshoot", 1.0),
             lines.optional("bounds.warmup_slack", 0.0),
         ),
--- a/trackwheel/relay/attempts.py
+++ b/trackwheel/relay/attempts.py
@@ -3,13 +3,12 @@
 from enum import StrEnum
 from typing import Final
 
-from trackwheel.relay.board import Board, Choice
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.const import (
-    HEDGE_EARLIEST_PACES,
-    HEDGE_RESERVE_PACES,
+    HEDGE_MIN_RESPONSE_TIMES,
+    HEDGE_RESERVE_RESPONSE_TIMES,
     MAX_SENDS,
-    REFUSED_REST_PACES,
+    REFUSAL_BACKOFF_RESPONSE_TIMES,
 )
 from trackwheel.relay.models import (
     NOTHING_RAN,
@@ -20,6 +19,7 @@
     SendPermission,
     Target,
 )
+from trackwheel.relay.target_selector import Candidate, TargetSelector
 
 NEVER: Final = float("inf")
 
@@ -122,12 +122,12 @@
 
     def choose(
         self,
-        board: Board,
-        budget: RepeatBudget,
+        selector: TargetSelector,
+        budget: RetryBudget,
         route: RouteKey,
         now: float,
         needed: bool = True,
-    ) -> list[Choice] | Refusal:
+    ) -> list[Candidate] | Refusal:
         """Return the ranked targets, the first of which is charged to the budget, or a refusal.
 
         `needed` tells that the answer fails without this attempt.
@@ -138,8 +138,8 @@
         # ONE: targets have already ended during it; the client's next attempt will be the trial.
         if permission is not SendPermission.OPEN or not self.may_run_again:
             return Refusal.NO_MORE
-        choices = self._rank(board, route, now)
-        if not choices and board.may_ask_soon(self._service, route, now):
+        choices = self._rank(selector, route, now)
+        if not choices and selector.may_ask_soon(self._service, route, now):
             return Refusal.NOT_NOW
         if not choices:
             return Refusal.NO_MORE
@@ -154,12 +154,12 @@
             return Refusal.NOT_NOW if budget.allows_any else Refusal.NO_MORE
         return choices
 
-    def _is_in_refusal_backoff(self, choices: list[Choice], now: float) -> bool:
+    def _is_in_refusal_backoff(self, choices: list[Candidate], now: float) -> bool:
         """Return whether all targets have refused it so recently that it should wait."""
         if choices[0].target.instance not in self._tried or self._refusals < len(choices):
             return False
         doublings = self._refusals - len(choices)
-        backoff_s = choices[0].usual_s * REFUSED_REST_PACES * 2.0**doublings
+        backoff_s = choices[0].usual_s * REFUSAL_BACKOFF_RESPONSE_TIMES * 2.0**doublings
         return now < self._refused_at + backoff_s
 
     def mark_sent(self, token: int, target: Target) -> None:
@@ -190,27 +190,27 @@
         if outcome is Outcome.NOT_SENT:
             self._deliveries -= 1
 
-    def _rank(self, board: Board, route: RouteKey, now: float) -> list[Choice]:
+    def _rank(self, selector: TargetSelector, route: RouteKey, now: float) -> list[Candidate]:
         """Return the untried targets, or if there are none those that did not run it."""
-        untried = board.rank(self._service, route, now, self.tried, self._own_domain_only)
+        untried = selector.rank(self._service, route, now, self.tried, self._own_domain_only)
         if untried or self.target_by_token:
             return untried
         ran = frozenset(self._tried - self._not_run_at)
-        return board.rank(self._service, route, now, ran, self._own_domain_only)
+        return selector.rank(self._service, route, now, ran, self._own_domain_only)
 
-    def _spend_budget(self, budget: RepeatBudget, now: float, needed: bool) -> bool:
+    def _spend_budget(self, budget: RetryBudget, now: float, needed: bool) -> bool:
         if not self._first_counted:
             self._first_counted = True
-            budget.first(self._service, now)
+            budget.count_first(self._service, now)
             return True
         # A request that no target has received yet is not a repeat at another target.
-        return self._deliveries == 0 or budget.take(self._service, now, needed)
+        return self._deliveries == 0 or budget.try_spend(self._service, now, needed)
 
 
-def hedge_time(choices: list[Choice], answer_at: float, now: float) -> float:
+def hedge_time(choices: list[Candidate], answer_at: float, now: float) -> float:
     """Return when to hedge: late enough to be rare, early enough to meet the target latency."""
     if len(choices) < 2:
         return NEVER
-    earliest = now + HEDGE_EARLIEST_PACES * choices[0].usual_s
-    latest = answer_at - HEDGE_RESERVE_PACES * choices[1].expected_s
+    earliest = now + HEDGE_MIN_RESPONSE_TIMES * choices[0].usual_s
+    latest = answer_at - HEDGE_RESERVE_RESPONSE_TIMES * choices[1].expected_s
     return max(earliest, latest)
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -17,11 +17,9 @@
 from collections.abc import Sequence
 from typing import Final
 
-from trackwheel.relay.asking import DECLINED, ShardAsking
-from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.closings import Closings
-from trackwheel.relay.const import DECLINE_PACES, LOGGED_SHARDS
+from trackwheel.relay.const import DECLINE_RESPONSE_TIMES, MAX_LOGGED_SHARDS
 from trackwheel.relay.delegated import DelegatedGroups
 from trackwheel.relay.gather_models import (
     CancelGroup,
@@ -32,10 +30,12 @@
     PeerSilent,
     Regrouper,
 )
-from trackwheel.relay.handing import GroupHanding
+from trackwheel.relay.group_delegator import GroupDelegator
 from trackwheel.relay.models import Outcome, Part, SendPermission, TargetResult
 from trackwheel.relay.parts import ReceivedParts
+from trackwheel.relay.shard_requester import DECLINED, ShardRequester
 from trackwheel.relay.shards import ShardTracker
+from trackwheel.relay.target_selector import TargetSelector
 
 CRASHES_TARGETS: Final = "targets end under it"
 """Failure reason of a quarantined query."""
@@ -47,17 +47,19 @@
     def __init__(
         self,
         plan: GatherPlan,
-        board: Board,
-        budget: RepeatBudget,
+        selector: TargetSelector,
+        budget: RetryBudget,
         regrouper: Regrouper | None = None,
     ) -> None:
         self.plan = plan
-        self._board = board
+        self._selector = selector
         self._shards = ShardTracker(plan)
         self._groups = DelegatedGroups()
         self.parts = ReceivedParts(plan.shards, plan.top_k)
-        self._handing = GroupHanding(plan, board, self._shards, self._groups, self.parts, regrouper)
-        self._asking = ShardAsking(plan, board, budget, self._shards, self._groups)
+        self._delegator = GroupDelegator(
+            plan, selector, self._shards, self._groups, self.parts, regrouper
+        )
+        self._requester = ShardRequester(plan, selector, budget, self._shards, self._groups)
         self._peers_ran = False
         self._closings = Closings()
         self._commands: list[GatherCommand] = []
@@ -66,7 +68,7 @@
     def start(self, now: float) -> list[GatherCommand]:
         """Delegate the groups to their peers and request each other shard from its best target."""
         for group in self.plan.groups:
-            self._commands.append(self._handing.hand_over(group))
+            self._commands.append(self._delegator.delegate(group))
         ungrouped = self._shards.ungrouped()
         reason = "repeat" if self.plan.repeat else "first"
         delegated = self._delegate_or_decline(ungrouped, now)
@@ -98,7 +100,7 @@
     def _delegate_outside_domain(self, names: Sequence[str], now: float) -> set[str]:
         """Delegate shards to peers in other failure domains; return those that were delegated."""
         for name in names:
-            local = {t.instance for t in self._board.targets(name) if self._board.is_beside(t)}
+            local = {t.instance for t in self._selector.targets(name) if self._selector.is_local(t)}
             self._shards[name].attempts.exclude(local)
         delegated = self._delegate_elsewhere(names, False, now)
         for name in names:
@@ -112,17 +114,17 @@
         Where all targets are slow, as under overload, shards stay here: otherwise boxes would pass
         them to each other.
         """
-        for choice in self._board.rank(name, self.plan.route, now, only_beside=True):
-            if not choice.last_resort and choice.cost_s < DECLINE_PACES * choice.usual_s:
+        for choice in self._selector.rank(name, self.plan.route, now, own_domain_only=True):
+            if not choice.last_resort and choice.cost_s < DECLINE_RESPONSE_TIMES * choice.usual_s:
                 return False
-        choices = self._board.rank(name, self.plan.route, now)
-        return bool(choices) and not self._board.is_beside(choices[0].target)
+        choices = self._selector.rank(name, self.plan.route, now)
+        return bool(choices) and not self._selector.is_local(choices[0].target)
 
     def part_ended(
         self, token: int, result: TargetResult, part: Part | None, now: float
     ) -> list[GatherCommand]:
         """Handle the end of one request; `part` holds the shard's records if it succeeded."""
-        name = self._asking.ended(token)
+        name = self._requester.pop_ended(token)
         if self.ended or name is None:
             return []
         shard = self._shards[name]
@@ -137,7 +139,7 @@
         if result.outcome is Outcome.CLOSED:
             self._closings.own += 1
         if self._suspects_own_query():
-            self._asking.hold_back(name, now)
+            self._requester.hold_back(name, now)
         else:
             self._ask(name, result.outcome.value, now)
         return self._finish_if_done(now)
@@ -174,7 +176,7 @@
         if final:
             self._close_group(number, "lacking", now)
         elif not group.plan.repeat:
-            self._ask_elsewhere(self._handing.shards_of(number), "hedge", now)
+            self._ask_elsewhere(self._delegator.pending_shards(number), "hedge", now)
         return self._finish_if_done(now)
 
     def group_declined(self, number: int, shards: Sequence[str], now: float) -> list[GatherCommand]:
@@ -182,7 +184,7 @@
         if self.ended or number not in self._groups:
             return []
         repeat = self._groups[number].plan.repeat
-        declined = [name for name in self._handing.shards_of(number) if name in shards]
+        declined = [name for name in self._delegator.pending_shards(number) if name in shards]
         for name in declined:
             self._shards[name].groups.discard(number)
             if repeat:
@@ -252,19 +254,19 @@
             self._abandon_group(number, "peer silent", now)
             return
         # The group stays open: its parts still count if they arrive.
-        self._ask_elsewhere(self._handing.shards_of(number), "peer late", now)
+        self._ask_elsewhere(self._delegator.pending_shards(number), "peer late", now)
 
     def _abandon_group(self, number: int, reason: str, now: float) -> None:
         """Close a group whose peer reported nothing; its targets may be asked again."""
         # The peer may have asked targets without reporting it.
         self._peers_ran = True
-        for name in self._handing.shards_of(number):
+        for name in self._delegator.pending_shards(number):
             self._shards[name].attempts.clear_tried()
         self._close_group(number, reason, now)
 
     def _close_group(self, number: int, reason: str, now: float) -> None:
         """Close a group and request the shards elsewhere that its peer did not deliver."""
-        shards = self._handing.shards_of(number)
+        shards = self._delegator.pending_shards(number)
         self._groups.pop(number)
         for name in shards:
             self._shards[name].groups.discard(number)
@@ -277,7 +279,7 @@
         missing = [name for name in names if name not in self.parts]
         if self._suspects_own_query():
             for name in missing:
-                self._asking.hold_back(name, now)
+                self._requester.hold_back(name, now)
             return
         delegated = self._delegate_elsewhere(missing, True, now)
         for name in missing:
@@ -286,7 +288,7 @@
 
     def _delegate_elsewhere(self, names: Sequence[str], repeat: bool, now: float) -> set[str]:
         """Delegate shards to peers near untried targets; return those that were delegated."""
-        sent = self._handing.hand_elsewhere(names, repeat, now)
+        sent = self._delegator.delegate_elsewhere(names, repeat, now)
         self._commands += sent
         return {name for command in sent for name in command.group.shards}
 
@@ -316,7 +318,7 @@
 
     def _ask(self, name: str, reason: str, now: float) -> None:
         """Request a shard from a target now, or hold it back, or give it up."""
-        sent = self._asking.ask_or_hold_back(name, reason, now)
+        sent = self._requester.ask_or_hold_back(name, reason, now)
         if sent is not None:
             self._commands.append(sent)
 
@@ -366,17 +368,17 @@
 
     def _lacking(self) -> str:
         """Return which shards are missing and why, for the log."""
-        return self._shards.describe_missing(LOGGED_SHARDS, self._groups.address)
+        return self._shards.describe_missing(MAX_LOGGED_SHARDS, self._groups.address)
 
     def _end(self) -> None:
         self.ended = True
         for shard in self._shards.all:
-            self._commands += self._asking.withdraw(shard)
+            self._commands += self._requester.withdraw(shard)
         for number, group in self._groups.pop_all().items():
             if any(name not in self.parts for name in group.plan.shards):
                 self._commands.append(CancelGroup(number, group.plan.address))
 
     def _mark_received(self, name: str) -> None:
         """Record a received shard and cancel its other requests."""
-        self._commands += self._asking.withdraw(self._shards[name])
+        self._commands += self._requester.withdraw(self._shards[name])
         self._shards.mark_received(name)
--- a/trackwheel/relay/grouping.py
+++ b/trackwheel/relay/grouping.py
@@ -5,18 +5,18 @@
 from typing import Final, NamedTuple
 
 from trackwheel.fleet.members import ring_position
-from trackwheel.relay.board import Board
 from trackwheel.relay.const import (
     ACCEPT_SLACK_S,
-    HEDGE_EARLIEST_PACES,
-    HEDGE_RESERVE_PACES,
-    LEAST_GROUP,
-    LEAST_GROUP_ELSEWHERE,
-    PEERS_IN_TURN,
+    HEDGE_MIN_RESPONSE_TIMES,
+    HEDGE_RESERVE_RESPONSE_TIMES,
+    MIN_GROUP_SHARDS,
+    MIN_REGROUP_SHARDS,
+    PEERS_IN_ROTATION,
 )
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan
 from trackwheel.relay.models import Place, RouteKey
-from trackwheel.relay.peers import PeerBoard, PeerBox
+from trackwheel.relay.peers import PeerBox, PeerTracker
+from trackwheel.relay.target_selector import TargetSelector
 
 RING_SIZE: Final = 2**64
 OTHER_REGION_DISTANCE: Final = 2
@@ -33,11 +33,13 @@
 class GroupPlanner:
     """Divides the shards of a query among this box and peers near the shards' targets."""
 
-    def __init__(self, own: Place, own_address: str, board: Board, peer_board: PeerBoard) -> None:
+    def __init__(
+        self, own: Place, own_address: str, selector: TargetSelector, peer_tracker: PeerTracker
+    ) -> None:
         self._own = own
         self._own_address = own_address
-        self._board = board
-        self._peer_board = peer_board
+        self._selector = selector
+        self._peer_tracker = peer_tracker
         self._peers: tuple[PeerBox, ...] = ()
         self._gathers = True
 
@@ -57,8 +59,8 @@
             self._own,
             self._gathers and route.allows(self._own.region),
             self._peers_for(route),
-            self._board,
-            self._peer_board,
+            self._selector,
+            self._peer_tracker,
             now,
         )
         return tuple(self._plan(group, route, answer_at, False, now) for group in groups)
@@ -78,7 +80,7 @@
         remaining = {
             shard
             for shard, tried in tried_by_shard.items()
-            if not (gathers and self._board.has_target_at(shard, self._own, now, tried))
+            if not (gathers and self._selector.has_target_at(shard, self._own, now, tried))
         }
         groups: list[ShardGroup] = []
         for peers_by_place in self._peers_by_distance(plan.route):
@@ -86,7 +88,7 @@
                 place: {
                     shard
                     for shard in remaining
-                    if self._board.has_target_at(shard, place, now, tried_by_shard[shard])
+                    if self._selector.has_target_at(shard, place, now, tried_by_shard[shard])
                 }
                 for place in peers_by_place
             }
@@ -94,9 +96,9 @@
                 held_by_place,
                 remaining,
                 peers_by_place,
-                self._peer_board,
+                self._peer_tracker,
                 now,
-                LEAST_GROUP_ELSEWHERE,
+                MIN_REGROUP_SHARDS,
             ):
                 groups.append(ShardGroup(peer, tuple(sorted(held))))
                 remaining -= held
@@ -107,7 +109,7 @@
     ) -> GroupPlan:
         """Return a group with the times by which its peer has to accept and to report."""
         address = group.peer.address
-        accept_by = now + self._peer_board.round_trip_s(address) + ACCEPT_SLACK_S
+        accept_by = now + self._peer_tracker.round_trip_s(address) + ACCEPT_SLACK_S
         report_by = self._report_by(route, address, answer_at, now)
         return GroupPlan(address, group.peer.place, group.shards, accept_by, report_by, repeat)
 
@@ -125,7 +127,7 @@
             if peer.place.region in regions and not (self._gathers and peer.place == self._own)
         ]
         return [
-            peer.address for peers in _by_place(near).values() for peer in peers[:PEERS_IN_TURN]
+            peer.address for peers in _by_place(near).values() for peer in peers[:PEERS_IN_ROTATION]
         ]
 
     def _preferred_region(self) -> str:
@@ -160,14 +162,14 @@
         allowed = self._peers_for(route)
         for distance in range(OTHER_REGION_DISTANCE + 1):
             near = [peer for peer in allowed if _distance(peer.place, self._own) == distance]
-            yield _by_place(self._peer_board.linked(near))
+            yield _by_place(self._peer_tracker.with_link(near))
             yield _by_place(near)
 
     def _report_by(self, route: RouteKey, address: str, answer_at: float, now: float) -> float:
         """Return when a peer has to report, early enough to ask other targets after that."""
-        latest = answer_at - HEDGE_RESERVE_PACES * self._board.usual_s(route, far=True)
-        usual_s = self._peer_board.round_trip_s(address)
-        usual_s += HEDGE_EARLIEST_PACES * self._board.usual_s(route, far=False)
+        latest = answer_at - HEDGE_RESERVE_RESPONSE_TIMES * self._selector.usual_s(route, far=True)
+        usual_s = self._peer_tracker.round_trip_s(address)
+        usual_s += HEDGE_MIN_RESPONSE_TIMES * self._selector.usual_s(route, far=False)
         return max(latest, now + usual_s)
 
 
@@ -176,8 +178,8 @@
     own: Place,
     gathers: bool,
     peers: tuple[PeerBox, ...],
-    board: Board,
-    peer_board: PeerBoard,
+    selector: TargetSelector,
+    peer_tracker: PeerTracker,
     now: float,
 ) -> list[ShardGroup]:
     """Return the shards to delegate to peers, in as few groups as possible.
@@ -187,18 +189,18 @@
     requested directly: those with a target in the own domain, and single ones elsewhere.
     """
     remaining = {
-        shard for shard in shards if not (gathers and board.has_target_at(shard, own, now))
+        shard for shard in shards if not (gathers and selector.has_target_at(shard, own, now))
     }
     peers_by_place = _by_place(peer for peer in peers if peer.place != own or not gathers)
     groups: list[ShardGroup] = []
     for distance in range(OTHER_REGION_DISTANCE + 1):
         held_by_place = {
-            place: {shard for shard in remaining if board.has_target_at(shard, place, now)}
+            place: {shard for shard in remaining if selector.has_target_at(shard, place, now)}
             for place in peers_by_place
             if _distance(place, own) == distance
         }
         for chosen, held in _cover_greedily(
-            held_by_place, remaining, peers_by_place, peer_board, now, LEAST_GROUP
+            held_by_place, remaining, peers_by_place, peer_tracker, now, MIN_GROUP_SHARDS
         ):
             groups.append(ShardGroup(chosen, tuple(shard for shard in shards if shard in held)))
             remaining -= held
@@ -223,7 +225,7 @@
     held_by_place: dict[Place, set[str]],
     wanted: set[str],
     peers_by_place: dict[Place, list[PeerBox]],
-    peer_board: PeerBoard,
+    peer_tracker: PeerTracker,
     now: float,
     least: int,
 ) -> list[tuple[PeerBox, set[str]]]:
@@ -240,7 +242,7 @@
         # Ties go to the first place, so that the same links are used again.
         best = next(place for place, held in held_by_place.items() if len(held & remaining) == most)
         held = held_by_place.pop(best) & remaining
-        chosen = peer_board.pick(peers_by_place[best], now)
+        chosen = peer_tracker.pick(peers_by_place[best], now)
         if chosen is None:
             continue
         cover.append((chosen, held))
--- a/trackwheel/relay/runs.py
+++ b/trackwheel/relay/runs.py
@@ -27,7 +27,7 @@
     SingleFailed,
 )
 from trackwheel.relay.timer import Timer
-from trackwheel.relay.transport import Sending, TargetTransport
+from trackwheel.relay.transport import TargetAttempt, TargetTransport
 
 
 class GatherTask(NamedTuple):
@@ -74,8 +74,8 @@
     ) -> None:
         """Send the request to a target; `on_end` is called unless it is withdrawn."""
         token = self._token_by_number[number] = object()
-        sending = Sending(token, self._request, target, self._route, reason, single, once)
-        self._transport.send(sending, lambda result: self._ended(number, result))
+        attempt = TargetAttempt(token, self._request, target, self._route, reason, single, once)
+        self._transport.send(attempt, lambda result: self._ended(number, result))
 
     def withdraw(self, number: int, target: Target) -> None:
         """Withdraw a request."""
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -1,4 +1,4 @@
-"""The shell of the relay: takes clients' requests and answers them."""
+"""Entry point of the relay: receives clients' requests and responds to them."""
 
 from collections import Counter
 from http import HTTPStatus
@@ -7,26 +7,26 @@
 from trackwheel.http1.models import Request
 from trackwheel.http1.server import Exchange
 from trackwheel.quarantine.service import Quarantine
-from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.const import (
     FINAL_MARGIN_S,
-    LINKS_REST_S,
+    LINK_OPEN_DELAY_S,
     NEW_CONNECTION_MARGIN_S,
     NO_ROUTES_RETRY_AFTER_S,
+    RESPONSE_MARGIN_S,
     RETRY_AFTER_S,
-    RETURN_MARGIN_S,
 )
-from trackwheel.relay.early import EarlyRequests
 from trackwheel.relay.gather import CRASHES_TARGETS, Gather
 from trackwheel.relay.gather_models import Gathered, GatherFailed, GatherPlan
 from trackwheel.relay.grouping import GroupPlanner
-from trackwheel.relay.groups import PeerGroups
 from trackwheel.relay.merge import merge_records
 from trackwheel.relay.models import OPEN_GATE, CallerRequest, Place, RouteKey, SendPermission, Wire
+from trackwheel.relay.outbound_groups import OutboundGroups
 from trackwheel.relay.peers import PeerBox
 from trackwheel.relay.runs import GatherRun, GatherTask, SingleRun
 from trackwheel.relay.single import Single, SingleAnswered, SingleFailed, SinglePlan
+from trackwheel.relay.startup_queue import StartupQueue
+from trackwheel.relay.target_selector import TargetSelector
 from trackwheel.relay.timer import Timer
 from trackwheel.relay.transport import TargetTransport
 from trackwheel.routing.models import Route, RouteTable
@@ -37,15 +37,15 @@
 
 
 class RelayService:
-    """Serve clients' requests from targets, directly or through peers beside them."""
+    """Serves clients' requests from targets, directly or through peers in their failure domains."""
 
     def __init__(
         self,
         wire: Wire,
-        board: Board,
-        budget: RepeatBudget,
+        selector: TargetSelector,
+        budget: RetryBudget,
         transport: TargetTransport,
-        groups: PeerGroups,
+        groups: OutboundGroups,
         quarantine: Quarantine,
         log: EventLog,
         figures: Figures,
@@ -53,7 +53,7 @@
         address: str,
     ) -> None:
         self._wire = wire
-        self._board = board
+        self._selector = selector
         self._budget = budget
         self._transport = transport
         self._groups = groups
@@ -63,28 +63,28 @@
         self.ended_by_kind: Counter[tuple[str]] = Counter()
         self._divider = WeightedDivider()
         self._table: RouteTable | None = None
-        self._early = EarlyRequests(self.handle, self._refuse_without_routes)
-        self._planner = GroupPlanner(place, address, board, groups.peer_board)
+        self._startup_queue = StartupQueue(self.handle, self._refuse_without_routes)
+        self._planner = GroupPlanner(place, address, selector, groups.peer_tracker)
         self._links_timer = Timer(self._open_links)
 
     def set_table(self, table: RouteTable) -> None:
-        """Take a configuration; requests under way keep the one they began with."""
+        """Set the configuration; requests in progress keep the one they started with."""
         self._table = table
-        self._early.release()
+        self._startup_queue.release()
 
     def set_peers(self, peers: tuple[PeerBox, ...], gathers: bool) -> None:
-        """Take the boxes to which shards may be handed, and whether this box asks targets."""
+        """Set the peers to which shards may be delegated, and whether this box is a gatherer."""
         self._planner.set_peers(peers, gathers)
-        self._links_timer.set(steady_now() + LINKS_REST_S)
+        self._links_timer.set(steady_now() + LINK_OPEN_DELAY_S)
 
     def _open_links(self) -> None:
         self._groups.open_links(self._planner.wanted_links())
 
     def handle(self, request: Request, exchange: Exchange) -> None:
-        """Serve one request of a client."""
+        """Serve one client request."""
         table = self._table
         if table is None:
-            self._early.take(request, exchange)
+            self._startup_queue.add(request, exchange)
             return
         caller = self._wire.read_request(request)
         route = find_route(table, caller.host, caller.path)
@@ -101,14 +101,14 @@
         if not route.shards:
             self._serve_single(caller, route, table.version, exchange, one_target)
         elif one_target:
-            self._serve_if_one_answers(caller, route, table.version, exchange)
+            self._serve_after_trial(caller, route, table.version, exchange)
         else:
             self._serve_query(caller, route, table.version, exchange)
 
     def _refuse_held(self, caller: CallerRequest, route: Route, exchange: Exchange) -> bool:
-        """Refuse a request at once that is kept from targets; return whether it is."""
-        waits_s = self._quarantine.waits_s(caller.fingerprint)
-        if waits_s <= 0.0:
+        """Refuse a request that is held in quarantine; return whether it was refused."""
+        retry_after_s = self._quarantine.waits_s(caller.fingerprint)
+        if retry_after_s <= 0.0:
             return False
         self.ended_by_kind[("held",)] += 1
         self._log.write(
@@ -116,14 +116,14 @@
             id=caller.request_id,
             route=route.name,
             fingerprint=caller.fingerprint.hex(),
-            left_s=round(waits_s, 1),
+            left_s=round(retry_after_s, 1),
         )
-        answer = self._wire.refusal(HTTPStatus.SERVICE_UNAVAILABLE, waits_s, CRASHES_TARGETS)
+        answer = self._wire.refusal(HTTPStatus.SERVICE_UNAVAILABLE, retry_after_s, CRASHES_TARGETS)
         exchange.respond(answer)
         return True
 
     def _refuse_without_routes(self, request: Request, exchange: Exchange) -> None:
-        """Refuse a request that came before any configuration was known here."""
+        """Refuse a request that arrived before this box had a configuration."""
         caller = self._wire.read_request(request)
         reason = "no configuration is known yet"
         self.ended_by_kind[("no_configuration",)] += 1
@@ -133,7 +133,7 @@
         )
 
     def _plan_single(self, caller: CallerRequest, route: Route, one_target: bool) -> SinglePlan:
-        """Return the plan for one target, or for one at a time."""
+        """Return the plan for one target at a time; with `one_target`, for a single attempt."""
         return SinglePlan(
             route=RouteKey(route.name, route.aim_s, route.homes),
             service=route.shards[0] if route.shards else self._divider.pick(route),
@@ -141,7 +141,7 @@
             max_attempts=1 if one_target else route.max_attempts,
             answer_at=_answer_at(caller, route),
             end_at=_end_at(caller, route),
-            # The one send of a trial passes the gate that keeps others of its content waiting.
+            # A trial's only attempt bypasses the gate that blocks other requests of its content.
             gate=OPEN_GATE if one_target else self._quarantine.gate(caller.fingerprint),
         )
 
@@ -160,18 +160,18 @@
             if isinstance(result, SingleAnswered):
                 exchange.respond(self._wire.single_answer(result.answer))
                 return
-            warm_in_s = self._board.warm_in_s(plan.service, plan.route, steady_now())
+            warm_in_s = self._selector.warm_in_s(plan.service, plan.route, steady_now())
             self._refuse(exchange, result, max(RETRY_AFTER_S, warm_in_s))
 
-        single = Single(plan, self._board, self._budget)
+        single = Single(plan, self._selector, self._budget)
         run = SingleRun(caller, single, self._transport, done)
-        exchange.on_gone = lambda: self._leave(caller, route.name, run)
+        exchange.on_gone = lambda: self._client_left(caller, route.name, run)
         run.start()
 
-    def _serve_if_one_answers(
+    def _serve_after_trial(
         self, caller: CallerRequest, route: Route, version: int, exchange: Exchange
     ) -> None:
-        """Send a query that may end targets to one of them, and serve it once that has answered."""
+        """Send a query suspected of crashing targets to one of them; serve it if that answers."""
 
         def done(result: SingleAnswered | SingleFailed) -> None:
             if (
@@ -186,16 +186,16 @@
             self._log_end(caller, route, version, failed)
             self._refuse(exchange, failed)
 
-        single = Single(self._plan_single(caller, route, True), self._board, self._budget)
+        single = Single(self._plan_single(caller, route, True), self._selector, self._budget)
         run = SingleRun(caller, single, self._transport, done)
-        exchange.on_gone = lambda: self._leave(caller, route.name, run)
+        exchange.on_gone = lambda: self._client_left(caller, route.name, run)
         run.start()
 
     def _serve_query(
         self, caller: CallerRequest, route: Route, version: int, exchange: Exchange
     ) -> None:
         plan = self._plan_query(caller, route)
-        gather = Gather(plan, self._board, self._budget, self._planner)
+        gather = Gather(plan, self._selector, self._budget, self._planner)
 
         def done(result: Gathered | GatherFailed) -> None:
             self._log_end(caller, route, version, result)
@@ -212,11 +212,11 @@
 
         task = GatherTask(caller, gather)
         run = GatherRun(task, self._transport, self._groups, done)
-        exchange.on_gone = lambda: self._leave(caller, route.name, run)
+        exchange.on_gone = lambda: self._client_left(caller, route.name, run)
         run.start()
 
-    def _leave(self, caller: CallerRequest, route: str, run: GatherRun | SingleRun) -> None:
-        """Take that a client left before its answer."""
+    def _client_left(self, caller: CallerRequest, route: str, run: GatherRun | SingleRun) -> None:
+        """Cancel the request of a client that disconnected before the response."""
         run.cancel()
         self.ended_by_kind[("client_left",)] += 1
         age_ms = (steady_now() - caller.http.arrived) * MILLISECONDS
@@ -246,7 +246,7 @@
         failed: GatherFailed | SingleFailed,
         retry_after_s: float = RETRY_AFTER_S,
     ) -> None:
-        """Give the final answer of a request that is given up."""
+        """Send the final response of a request that failed."""
         if not failed.ran:
             answer = self._wire.refusal(
                 HTTPStatus.SERVICE_UNAVAILABLE, retry_after_s, failed.reason
@@ -301,8 +301,8 @@
 
 
 def _answer_at(caller: CallerRequest, route: Route) -> float:
-    """Return the last moment to answer within the aim (monotonic seconds)."""
-    margin_s = RETURN_MARGIN_S
+    """Return the last moment to answer within the target latency (monotonic seconds)."""
+    margin_s = RESPONSE_MARGIN_S
     if caller.http.opening:
         margin_s += NEW_CONNECTION_MARGIN_S
     return caller.http.arrived + route.aim_s - margin_s
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -1,4 +1,4 @@
-"""The shell between decisions and targets: pools of connections by target."""
+"""Sends requests to targets over a connection pool for each of them."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -6,7 +6,6 @@
 
 from trackwheel.http1.models import EndKind, ExchangeEnd, Request, Response
 from trackwheel.http1.pool import Job, TargetPool
-from trackwheel.relay.board import Board, TargetBelief
 from trackwheel.relay.models import (
     CallerRequest,
     Incarnation,
@@ -16,39 +15,40 @@
     TargetResult,
     Wire,
 )
+from trackwheel.relay.target_selector import TargetAvailability, TargetSelector
 from trackwheel.settings import split_address
 from trackwheel.telemetry.events import EventLog
 from trackwheel.units import MILLISECONDS
 
 DEFAULT_CONNECTIONS = 8
-"""Connections to a target of a service that the configuration does not name."""
+"""Connections of each box to a target of a service that the configuration does not name."""
 CONNECTION_SHARE = 0.9
-"""Part of a target's connections that the boxes use together; the rest is for health checks."""
-LEAST_CONNECTIONS = 2
-"""Connections that a box may have to a target in any case."""
+"""Share of a target's connections that all boxes use together; the rest is for health checks."""
+MIN_CONNECTIONS = 2
+"""Connections that a box may always open to a target."""
 
 _OUTCOME_BY_KIND: Final = {
     EndKind.NOT_SENT: Outcome.NOT_SENT,
     EndKind.CLOSED: Outcome.CLOSED,
     EndKind.BROKEN: Outcome.BROKEN,
 }
-"""How a request ended without an answer."""
+"""Outcomes of requests that ended without an answer."""
 
 OnTargetResult = Callable[[TargetResult], None]
 
-OnTakenBack = Callable[[bytes, Target], None]
-"""Take the fingerprint of a request that was taken back from a target."""
+OnWithdrawn = Callable[[bytes, Target], None]
+"""Receives the fingerprint of a request that was withdrawn from a target."""
 
 
 class Clock(Protocol):
-    """Give the steady time."""
+    """Source of the steady time."""
 
     def __call__(self) -> float:
         """Return monotonic seconds."""
 
 
-class Sending(NamedTuple):
-    """One request for one target."""
+class TargetAttempt(NamedTuple):
+    """One request to one target; `once` tells that it must not be run twice."""
 
     token: object
     request: CallerRequest
@@ -59,16 +59,16 @@
     once: bool
 
 
-OnAnyEnd = Callable[[Sending, Outcome, float], None]
-"""Take how a request to a target ended that was sent at a time (monotonic seconds)."""
+OnAttemptEnd = Callable[[TargetAttempt, Outcome, float], None]
+"""Receives the outcome of an attempt and the time at which it was sent (monotonic seconds)."""
 
 
 class TargetTransport:
-    """Send requests to targets and keep the board informed."""
+    """Sends requests to targets and reports their outcomes to the selector."""
 
-    def __init__(self, wire: Wire, board: Board, clock: Clock, log: EventLog) -> None:
+    def __init__(self, wire: Wire, selector: TargetSelector, clock: Clock, log: EventLog) -> None:
         self._wire = wire
-        self._board = board
+        self._selector = selector
         self._clock = clock
         self._log = log
         self._pool_by_life: dict[Incarnation, TargetPool] = {}
@@ -76,42 +76,42 @@
         self._members = 1
         self.sent_by_reason: Counter[tuple[str, str]] = Counter()
         self.ended_by_outcome: Counter[tuple[str]] = Counter()
-        self._on_any_end: list[OnAnyEnd] = []
-        self._on_taken_back: list[OnTakenBack] = []
+        self._on_attempt_end: list[OnAttemptEnd] = []
+        self._on_withdrawn: list[OnWithdrawn] = []
 
-    def on_any_end(self, handler: OnAnyEnd) -> None:
-        """Call a handler with how each request ended that was not withdrawn."""
-        self._on_any_end.append(handler)
+    def on_attempt_end(self, handler: OnAttemptEnd) -> None:
+        """Call a handler with the outcome of each attempt that was not withdrawn."""
+        self._on_attempt_end.append(handler)
 
-    def on_taken_back(self, handler: OnTakenBack) -> None:
-        """Call a handler with each request that was sent and taken back before its answer."""
-        self._on_taken_back.append(handler)
+    def on_withdrawn(self, handler: OnWithdrawn) -> None:
+        """Call a handler for each request that was sent and withdrawn before its answer."""
+        self._on_withdrawn.append(handler)
 
     def set_limits(self, connections_by_service: dict[str, int], members: int) -> None:
-        """Take how many connections the targets of each service take from all boxes."""
+        """Set how many connections each service's targets accept from all boxes together."""
         self._limit_by_service = connections_by_service
         self._members = max(1, members)
 
-    def keep_only(self, lives: set[Incarnation]) -> None:
-        """Close the idle connections of targets that are gone."""
+    def close_unknown(self, lives: set[Incarnation]) -> None:
+        """Close the idle connections to all other targets."""
         for life in [known for known in self._pool_by_life if known not in lives]:
             pool = self._pool_by_life[life]
             pool.close()
             if pool.unused:
                 del self._pool_by_life[life]
 
-    def bar(self, lives: set[Incarnation]) -> None:
-        """Send nothing more that waits for a connection to targets that get no new work."""
+    def refuse_waiting(self, lives: set[Incarnation]) -> None:
+        """Refuse requests that wait for a connection to targets that get no new work."""
         for life in lives & self._pool_by_life.keys():
             self._pool_by_life[life].refuse_waiting()
 
-    def send(self, sending: Sending, on_end: OnTargetResult) -> None:
-        """Send a request; `on_end` is called once unless it is withdrawn."""
-        target, request = sending.target, sending.request
+    def send(self, attempt: TargetAttempt, on_end: OnTargetResult) -> None:
+        """Send a request; `on_end` is called once unless the request is withdrawn."""
+        target, request = attempt.target, attempt.request
         sent_at = self._clock()
-        self._board.sent(target, sending.token, sending.route, sent_at)
-        distance = "far" if self._board.is_far(target) else "near"
-        self.sent_by_reason[sending.reason, distance] += 1
+        self._selector.sent(target, attempt.token, attempt.route, sent_at)
+        distance = "far" if self._selector.is_far(target) else "near"
+        self.sent_by_reason[attempt.reason, distance] += 1
 
         def build() -> Request:
             return self._wire.target_request(request, target.instance, self._clock())
@@ -120,64 +120,69 @@
             return self._wire.check_answer(request.request_id, answer)
 
         def ended(end: ExchangeEnd) -> None:
-            result = self._read(end, sending.single)
+            result = self._to_target_end(end, attempt.single)
             self.ended_by_outcome[(result.outcome.value,)] += 1
-            belief = self._board.ended(
-                target, sending.token, result.outcome, result.load, self._clock(), result.cold_s
+            availability = self._selector.ended(
+                target, attempt.token, result.outcome, result.load, self._clock(), result.cold_s
             )
-            self._write(sending, result, belief, sent_at)
-            for handler in self._on_any_end:
-                handler(sending, result.outcome, sent_at)
+            self._log_end(attempt, result, availability, sent_at)
+            for handler in self._on_attempt_end:
+                handler(attempt, result.outcome, sent_at)
             on_end(result)
 
         self._pool(target).submit(
-            Job(sending.token, request.request_id, build, check, sending.once, ended)
+            Job(attempt.token, request.request_id, build, check, attempt.once, ended)
         )
 
     def withdraw(self, token: object, target: Target, fingerprint: bytes) -> None:
-        """Take a request back."""
-        self._board.withdrawn(target, token, self._clock())
+        """Withdraw a request."""
+        self._selector.withdrawn(target, token, self._clock())
         pool = self._pool_by_life.get(target.incarnation)
         if pool is not None and pool.cancel(token):
-            for handler in self._on_taken_back:
+            for handler in self._on_withdrawn:
                 handler(fingerprint, target)
 
-    def _write(
-        self, sending: Sending, end: TargetResult, belief: TargetBelief | None, sent_at: float
+    def _log_end(
+        self,
+        attempt: TargetAttempt,
+        end: TargetResult,
+        availability: TargetAvailability | None,
+        sent_at: float,
     ) -> None:
-        """Write what failed at a target, and what is believed of the target from now on."""
-        target = sending.target
+        """Log a failed attempt, and a change of the target's availability."""
+        target = attempt.target
         if end.outcome is not Outcome.OK:
             self._log.write(
                 "target_failed",
-                id=sending.request.request_id,
+                id=attempt.request.request_id,
                 target=target.instance,
                 service=target.service,
                 outcome=end.outcome.value,
                 detail=end.detail,
-                why_sent=sending.reason,
+                why_sent=attempt.reason,
             )
         if end.outcome is Outcome.CLOSED:
-            # A kind of its own: refused connections in their hundreds would use up its lines.
+            # An event of its own, since hundreds of refused connections would exhaust the line
+            # limit of target_failed.
             self._log.write(
                 "target_closed",
-                id=sending.request.request_id,
-                fingerprint=sending.request.fingerprint.hex(),
+                id=attempt.request.request_id,
+                fingerprint=attempt.request.fingerprint.hex(),
                 target=target.instance,
                 service=target.service,
                 ran_ms=round((self._clock() - sent_at) * MILLISECONDS, 1),
-                others_here=self._board.in_flight(target),
+                others_here=self._selector.in_flight(target),
             )
-        if belief is not None:
+        if availability is not None:
             self._log.write(
                 "target_belief",
                 target=target.instance,
                 service=target.service,
-                belief=belief.value,
+                belief=availability.value,
                 after=end.outcome.value,
             )
 
-    def _read(self, end: ExchangeEnd, single: bool) -> TargetResult:
+    def _to_target_end(self, end: ExchangeEnd, single: bool) -> TargetResult:
         if end.answer is not None:
             return self._wire.read_result(end.answer, single)
         return TargetResult(_OUTCOME_BY_KIND[end.kind], None, b"", None, end.detail)
@@ -188,5 +193,5 @@
             host, port = split_address(target.address)
             pool = self._pool_by_life[target.incarnation] = TargetPool(host, port, 0)
         allowed = self._limit_by_service.get(target.service, DEFAULT_CONNECTIONS * self._members)
-        pool.limit = max(LEAST_CONNECTIONS, int(allowed * CONNECTION_SHARE / self._members))
+        pool.limit = max(MIN_CONNECTIONS, int(allowed * CONNECTION_SHARE / self._members))
         return pool
