--- a/tests/quarantine/test_store_goes_back.py
+++ b/tests/quarantine/test_store_goes_back.py
@@ -25,11 +25,11 @@
     async def read(self) -> Result[list[HeldRequest], TrackwheelError]:
         return Success(list(self.rows.values()))
 
-    async def keep(self, held: HeldRequest) -> Result[None, TrackwheelError]:
+    async def put(self, held: HeldRequest) -> Result[None, TrackwheelError]:
         self.rows[held.fingerprint] = held
         return Success(None)
 
-    async def forget(self, fingerprint: bytes) -> Result[None, TrackwheelError]:
+    async def delete(self, fingerprint: bytes) -> Result[None, TrackwheelError]:
         self.rows.pop(fingerprint, None)
         return Success(None)
 
--- a/tests/storage/test_held.py
+++ b/tests/storage/test_held.py
@@ -49,7 +49,7 @@
 
 def keep(store: Store, request: bytes, left_ms: float = 5_000.0) -> bool:
     return isinstance(
-        asyncio.run(KeyValueHeldStore(store).keep(HeldRequest(request, left_ms))), Success
+        asyncio.run(KeyValueHeldStore(store).put(HeldRequest(request, left_ms))), Success
     )
 
 
@@ -59,7 +59,7 @@
     assert keep(store, OTHER)
     assert held(store).keys() == {ONE, OTHER}
     assert 4_000.0 < held(store)[ONE] <= 5_000.0
-    asyncio.run(KeyValueHeldStore(store).forget(ONE))
+    asyncio.run(KeyValueHeldStore(store).delete(ONE))
     assert held(store).keys() == {OTHER}
 
 
--- a/trackwheel/platform/held.py
+++ b/trackwheel/platform/held.py
@@ -27,14 +27,14 @@
         items = await self._store.read_items(PREFIX_HELD)
         return items.map(_held_requests)
 
-    async def keep(self, held: HeldRequest) -> Result[None, TrackwheelError]:
+    async def put(self, held: HeldRequest) -> Result[None, TrackwheelError]:
         """Write that a request is held, unless another box has; it is forgotten in time."""
         over_ms = time.time() * MILLISECONDS + held.left_ms
         key = f"{PREFIX_HELD}{held.fingerprint.hex()}"
         value = b"%d" % over_ms
         return await self._store.put_once(key, value, held.left_ms / MILLISECONDS)
 
-    async def forget(self, fingerprint: bytes) -> Result[None, TrackwheelError]:
+    async def delete(self, fingerprint: bytes) -> Result[None, TrackwheelError]:
         """Remove what is written of a request."""
         return await self._store.remove_item(f"{PREFIX_HELD}{fingerprint.hex()}")
 
--- a/trackwheel/quarantine/models.py
+++ b/trackwheel/quarantine/models.py
@@ -62,10 +62,10 @@
     async def read(self) -> Result[list[HeldRequest], TrackwheelError]:
         """Return the requests that are held, as they stood some seconds ago."""
 
-    async def keep(self, held: HeldRequest) -> Result[None, TrackwheelError]:
+    async def put(self, held: HeldRequest) -> Result[None, TrackwheelError]:
         """Write that a request is held, unless another box has; it is forgotten in time."""
 
-    async def forget(self, fingerprint: bytes) -> Result[None, TrackwheelError]:
+    async def delete(self, fingerprint: bytes) -> Result[None, TrackwheelError]:
         """Remove what is written of a request."""
 
 
--- a/trackwheel/quarantine/service.py
+++ b/trackwheel/quarantine/service.py
@@ -193,10 +193,10 @@
         """
         rows = self._suspects.held_requests(steady_now()).rows
         for row in rows:
-            if row.fingerprint not in self._stored and await self._done(self._store.keep(row)):
+            if row.fingerprint not in self._stored and await self._done(self._store.put(row)):
                 self._stored.add(row.fingerprint)
         for request in self._stored - {row.fingerprint for row in rows}:
-            if await self._done(self._store.forget(request)):
+            if await self._done(self._store.delete(request)):
                 self._stored.discard(request)
 
     async def _done(self, call: Awaitable[Result[None, TrackwheelError]]) -> bool:
--- a/trackwheel/storage/held.py
+++ b/trackwheel/storage/held.py
@@ -31,12 +31,12 @@
         """Return the requests that are held."""
         return (await self._client.get(KEY)).map(_held_requests)
 
-    async def keep(self, held: HeldRequest) -> Result[None, TrackwheelError]:
+    async def put(self, held: HeldRequest) -> Result[None, TrackwheelError]:
         """Write that a request is held."""
         over_ms = time.time() * MILLISECONDS + held.left_ms
         return await self._change(held.fingerprint, over_ms)
 
-    async def forget(self, fingerprint: bytes) -> Result[None, TrackwheelError]:
+    async def delete(self, fingerprint: bytes) -> Result[None, TrackwheelError]:
         """Remove what is written of a request."""
         return await self._change(fingerprint, 0.0)
 
