--- a/tests/quarantine/test_store_goes_back.py
+++ b/tests/quarantine/test_store_goes_back.py
@@ -43,7 +43,7 @@
 
     async def scenario() -> None:
         quarantine = Quarantine(FakeHub(), store, FakeLog())  # type: ignore[arg-type]
-        quarantine.set_boxes([], [], tells_again=True)
+        quarantine.set_boxes([], [], rebroadcasts=True)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(quarantine.run)
             await anyio.sleep(0.05)
--- a/trackwheel/app.py
+++ b/trackwheel/app.py
@@ -194,7 +194,7 @@
         self.files.set_watching(self.fleet.is_watcher())
         self.files.set_neighbours(self.fleet.monitored)
         self.quarantine.set_boxes(
-            self.fleet.near(), self.fleet.far_watchers(), tells_again=self.fleet.is_watcher()
+            self.fleet.near(), self.fleet.far_watchers(), rebroadcasts=self.fleet.is_watcher()
         )
 
     def _take_notes(self, notes: tuple[TargetNote, ...]) -> None:
--- a/trackwheel/dispatch/guard.py
+++ b/trackwheel/dispatch/guard.py
@@ -34,7 +34,7 @@
 
     def retry_after_s(self, request: bytes) -> float:
         """Return in how many seconds a request may be sent again, 0 for now."""
-        return self._quarantine.waits_s(request)
+        return self._quarantine.retry_after_s(request)
 
     def heard(self, target: str, boot: str) -> None:
         """Take a target's word which boot it is."""
@@ -45,16 +45,16 @@
         """Take a target's reply to some work."""
         self.heard(work.target, reply.boot)
         if outcome is Outcome.OK:
-            self._quarantine.answered(_fingerprint(work))
+            self._quarantine.request_answered(_fingerprint(work))
 
     def failed(self, work: Work, error: Exception) -> None:
         """Take that work brought no reply."""
         life = f"{work.target} {self._boot_by_target.get(work.target, '')}", 0
         match error:
             case TargetClosedError():
-                self._quarantine.closed(_fingerprint(work), life)
+                self._quarantine.connection_closed(_fingerprint(work), life)
             case TargetUnreachableError():
-                self._quarantine.refused(life)
+                self._quarantine.connection_refused(life)
 
 
 def _fingerprint(work: Work) -> bytes:
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -185,7 +185,7 @@
         near, far_watchers = self.fleet.near(), self.fleet.far_watchers()
         before = self.fleet.watchers_before(own)
         self.directory.set_peers(before, near, far_watchers)
-        self.quarantine.set_boxes(near, far_watchers, tells_again=not before)
+        self.quarantine.set_boxes(near, far_watchers, rebroadcasts=not before)
         boxes = [
             PeerBox(m.address, Place(m.region, m.failure_domain), m.speed)
             for m in members
--- a/trackwheel/entry/figures.py
+++ b/trackwheel/entry/figures.py
@@ -74,7 +74,7 @@
         (
             "requests_held",
             "Requests that are kept from targets since targets end under them",
-            lambda: float(box.quarantine.held),
+            lambda: float(box.quarantine.held_count),
         ),
         ("peer_bytes", "Bytes sent to boxes", lambda: float(box.hub.bytes_sent)),
         ("under_way", "Requests under way", lambda: float(box.clients.busy)),
--- a/trackwheel/gateway/queries.py
+++ b/trackwheel/gateway/queries.py
@@ -151,7 +151,7 @@
         self, group: str, service: ServiceSpec, policy: Policy, query: str
     ) -> QueryResult:
         """Return the answer of one query; raise `CallerError` when there is none."""
-        wait_s = self._quarantine.waits_s(query_fingerprint(service.name, query))
+        wait_s = self._quarantine.retry_after_s(query_fingerprint(service.name, query))
         if wait_s > 0.0:
             detail = "targets end under this query"
             raise refuse(Code.HELD, "admit", detail, "Come back later", wait_s)
--- a/trackwheel/quarantine/service.py
+++ b/trackwheel/quarantine/service.py
@@ -69,27 +69,27 @@
         hub.register(RequestsHeld, self._take_held)
 
     @property
-    def held(self) -> int:
+    def held_count(self) -> int:
         """Return how many requests are held."""
         return self._suspects.held
 
-    def set_boxes(self, near: Iterable[str], far: Iterable[str], tells_again: bool) -> None:
+    def set_boxes(self, near: Iterable[str], far: Iterable[str], rebroadcasts: bool) -> None:
         """Take the boxes of the own failure domain, those of others that pass news on to theirs.
 
-        `tells_again` says that this box is one of the few that make up for lost news.
+        `rebroadcasts` says that this box is one of the few that make up for lost news.
         """
         self._near, self._far = tuple(near), tuple(far)
-        self._tells_again = tells_again
+        self._tells_again = rebroadcasts
 
     def gate(self, request: bytes, for_peer: bool = False) -> RequestGate:
         """Return what knows whether a request, or a peer's, may go to targets."""
         return RequestGate(self._suspects, request, for_peer)
 
-    def holds(self, request: bytes) -> bool:
+    def is_held(self, request: bytes) -> bool:
         """Return whether a request may go to no target for the time being."""
         return self._suspects.passage(request, steady_now()) is Passage.SHUT
 
-    def goes_to_one(self, request: bytes) -> bool:
+    def start_trial(self, request: bytes) -> bool:
         """Return whether a request goes to one target now, and to others only if that answers."""
         now = steady_now()
         if self._suspects.passage(request, now) is not Passage.ONE:
@@ -97,30 +97,30 @@
         self._suspects.begin_trial(request, now)
         return True
 
-    def waits_s(self, request: bytes) -> float:
+    def retry_after_s(self, request: bytes) -> float:
         """Return in how many seconds a request may be tried again, 0 for now."""
         return self._suspects.waits_s(request, steady_now())
 
-    def closed(self, request: bytes, life: Life) -> None:
+    def connection_closed(self, request: bytes, life: Life) -> None:
         """Take that a target ended the connection under a request, without an answer."""
         self._suspects.closed(request, life, steady_now())
         self._wake()
 
-    def answered(self, request: bytes) -> None:
+    def request_answered(self, request: bytes) -> None:
         """Take that a target answered a request with success."""
         self._suspects.answered(request, steady_now())
         self._wake()
 
-    def refused(self, life: Life) -> None:
+    def connection_refused(self, life: Life) -> None:
         """Take that a target takes no connections."""
         self._suspects.refused(life, steady_now())
         self._wake()
 
-    def taken_back(self, request: bytes, life: Life) -> None:
+    def request_withdrawn(self, request: bytes, life: Life) -> None:
         """Take that a request was taken back from a target that has not answered it."""
         self._suspects.taken_back(request, life, steady_now())
 
-    def tell(self, address: str) -> None:
+    def send_held_requests(self, address: str) -> None:
         """Tell one box which requests are held."""
         self._hub.send(address, self._suspects.held_requests(steady_now()))
 
@@ -136,7 +136,7 @@
             now = steady_now()
             self._suspects.forget_old(now)
             self._act()
-            if self._tells_again and self.held:
+            if self._tells_again and self.held_count:
                 self._tell_all(self._suspects.held_requests(now))
 
     async def _follow_store(self) -> None:
--- a/trackwheel/relay/ends.py
+++ b/trackwheel/relay/ends.py
@@ -12,14 +12,14 @@
         match outcome:
             case Outcome.OK:
                 # No other answer clears a request: a failing target may not have begun to run it.
-                quarantine.answered(sending.request.fingerprint)
+                quarantine.request_answered(sending.request.fingerprint)
             case Outcome.CLOSED:
-                quarantine.closed(sending.request.fingerprint, sending.target.life)
+                quarantine.connection_closed(sending.request.fingerprint, sending.target.life)
             case Outcome.NOT_SENT:
-                quarantine.refused(sending.target.life)
+                quarantine.connection_refused(sending.target.life)
 
     def taken_back(fingerprint: bytes, target: Target) -> None:
-        quarantine.taken_back(fingerprint, target.life)
+        quarantine.request_withdrawn(fingerprint, target.life)
 
     transport.on_any_end(ended)
     transport.on_taken_back(taken_back)
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -97,7 +97,7 @@
             return
         if self._refuse_held(caller, route, exchange):
             return
-        one_target = self._quarantine.goes_to_one(caller.fingerprint)
+        one_target = self._quarantine.start_trial(caller.fingerprint)
         if not route.shards:
             self._serve_single(caller, route, table.version, exchange, one_target)
         elif one_target:
@@ -107,7 +107,7 @@
 
     def _refuse_held(self, caller: CallerRequest, route: Route, exchange: Exchange) -> bool:
         """Refuse a request at once that is kept from targets; return whether it is."""
-        waits_s = self._quarantine.waits_s(caller.fingerprint)
+        waits_s = self._quarantine.retry_after_s(caller.fingerprint)
         if waits_s <= 0.0:
             return False
         self.ended_by_kind[("held",)] += 1
--- a/trackwheel/relay/taken.py
+++ b/trackwheel/relay/taken.py
@@ -149,7 +149,7 @@
             return
         self._hub.send(sender.address, GroupAccepted(message.group_id))
         task = self._task(message, now)
-        if self._quarantine.holds(task.request.fingerprint):
+        if self._quarantine.is_held(task.request.fingerprint):
             self._refuse(sender, message)
             return
         taken = self._taken_by_key[key] = _TakenGroup(sender, message, self._hub, now)
@@ -165,7 +165,7 @@
 
     def _refuse(self, sender: PeerIdentity, message: GroupForward) -> None:
         """Ask nobody for a request that is held, and let its sender know."""
-        self._quarantine.tell(sender.address)
+        self._quarantine.send_held_requests(sender.address)
         self._hub.send(sender.address, GroupParts(message.group_id, [], [], b"", True, False))
 
     def _task(self, message: GroupForward, now: float) -> GatherTask:
