--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1336,7 +1336,7 @@
         CRASHING + "test_boxes_that_start_know_what_is_held",
         Mutant(
             "trackwheel/quarantine/service.py",
-            "self._suspects.take_held(RequestsHeld(rows), steady_now())",
+            "self._tracker.handle_requests_held(RequestsHeld(rows), steady_now())",
             "pass",
         ),
     ),
@@ -1347,7 +1347,7 @@
         CRASHING + "test_box_that_starts_while_the_store_is_down_is_told_by_its_peers",
         Mutant(
             "trackwheel/quarantine/service.py",
-            "self._tell_all(self._suspects.held_requests(now))",
+            "self._broadcast(self._tracker.held_requests(now))",
             "pass",
         ),
     ),
@@ -1375,7 +1375,7 @@
         SUSPECTS + "test_held",
         Mutant(
             "trackwheel/quarantine/suspects.py",
-            "            evidence.take_out(lives)\n",
+            "            evidence.remove_attributed(lives)\n",
             "",
         ),
     ),
@@ -1386,7 +1386,7 @@
         HOLDING + "test_every_box_holds_it_in_time",
         Mutant(
             "trackwheel/quarantine/suspects.py",
-            "self._commands.append(TellAll(CrashReport(rows)))",
+            "self._commands.append(Broadcast(CrashReport(rows)))",
             "pass",
         ),
     ),
@@ -1397,7 +1397,7 @@
         HOLDING + "test_answer_at_one_box_clears_it_at_all",
         Mutant(
             "trackwheel/quarantine/suspects.py",
-            "self._commands.append(TellAll(RequestsAnswered(answered)))",
+            "self._commands.append(Broadcast(RequestsAnswered(answered)))",
             "pass",
         ),
     ),
--- a/tests/quarantine/test_store_goes_back.py
+++ b/tests/quarantine/test_store_goes_back.py
@@ -1,4 +1,4 @@
-"""Held requests in a store that loses what was written lately."""
+"""Held requests in a store that is restored from an older copy and loses recent writes."""
 
 import anyio
 import pytest
@@ -7,7 +7,7 @@
 from tests.directory.test_service import FakeHub, FakeLog
 from trackwheel.errors import TrackwheelError
 from trackwheel.peers.models import PeerIdentity
-from trackwheel.quarantine.const import TELL_AGAIN_S
+from trackwheel.quarantine.const import REBROADCAST_INTERVAL_S
 from trackwheel.quarantine.models import HeldRequest, RequestsHeld
 from trackwheel.quarantine.service import Quarantine
 
@@ -16,7 +16,7 @@
 
 
 class MemoryHeldStore:
-    """Keep rows in memory; a test takes some away, or brings them back."""
+    """In-memory store whose rows the test replaces to simulate a restore."""
 
     def __init__(self) -> None:
         self.era = 1
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize(
     "found",
-    [pytest.param([], id="lost"), pytest.param([CLEARED], id="lost-and-another-one-is-back")],
+    [pytest.param([], id="lost"), pytest.param([CLEARED], id="lost-and-a-cleared-one-restored")],
 )
 def test_store_that_came_back_from_a_copy_holds_again_what_is_held(found: list[bytes]) -> None:
     store = MemoryHeldStore()
@@ -47,12 +47,12 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(quarantine.run)
             await anyio.sleep(0.05)
-            quarantine._take_held(PEER, RequestsHeld([HeldRequest(KEPT, 60_000.0)]))
-            await anyio.sleep(TELL_AGAIN_S + 0.1)
+            quarantine._handle_requests_held(PEER, RequestsHeld([HeldRequest(KEPT, 60_000.0)]))
+            await anyio.sleep(REBROADCAST_INTERVAL_S + 0.1)
             assert set(store.rows) == {KEPT}
             store.rows = {name: HeldRequest(name, 60_000.0) for name in found}
             store.era += 1
-            await anyio.sleep(TELL_AGAIN_S + 0.1)
+            await anyio.sleep(REBROADCAST_INTERVAL_S + 0.1)
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
--- a/tests/quarantine/test_suspects.py
+++ b/tests/quarantine/test_suspects.py
@@ -1,437 +1,525 @@
-"""Which requests are held, for any order of ends, answers and news of other boxes."""
+"""Which requests are held, for any order of crashes, answers and messages of other boxes."""
 
 from collections.abc import Callable
 
 import pytest
 
 from trackwheel.quarantine.const import (
-    ANSWER_MEMORY_S,
-    ENDS_TO_HOLD,
-    EVIDENCE_MEMORY_S,
-    HOLD_S,
-    LEFT_S,
-    LONGEST_SETTLE_S,
-    MOST_ANSWERED,
-    MOST_HELD,
-    MOST_LEFT,
-    MOST_LIVES_TOLD,
-    MOST_ROWS_TOLD,
-    MOST_SUSPECTS,
+    ANSWER_RETENTION_S,
+    DECISION_DELAY_S,
+    EVIDENCE_RETENTION_S,
+    HOLD_DURATION_S,
+    MAX_ANSWERED_REQUESTS,
+    MAX_DECISION_DELAY_S,
+    MAX_HELD_REQUESTS,
+    MAX_LIVES_PER_ROW,
+    MAX_ROWS_PER_REPORT,
+    MAX_SUSPECTS,
+    MAX_WITHDRAWN_TARGETS,
+    MIN_CRASHES_TO_HOLD,
     NEVER,
-    REPORT_AFTER_S,
-    SETTLE_S,
-    TRIAL_S,
+    REPORT_DELAY_S,
+    TRIAL_TIMEOUT_S,
+    WITHDRAWN_RETENTION_S,
 )
 from trackwheel.quarantine.models import (
-    Cleared,
+    Broadcast,
     Command,
     CrashReport,
-    EndsUnder,
-    Held,
     HeldRequest,
+    HoldCleared,
+    HoldStarted,
+    RequestCrashes,
     RequestsAnswered,
     RequestsHeld,
-    TellAll,
 )
-from trackwheel.quarantine.suspects import Suspects
+from trackwheel.quarantine.suspects import CrashTracker
 from trackwheel.relay.models import Life, Passage
 
-ENDS, OTHER = b"ends", b"other"
-Step = Callable[[Suspects], None]
+CRASHING, OTHER = b"crashing", b"other"
+Step = Callable[[CrashTracker], None]
 
 
 def life(number: int) -> Life:
     return f"t{number}", 0
 
 
-def closed(request: bytes, *numbers: int, at: float = 1.0) -> Step:
-    """Let targets end under a request at this box."""
+def connection_closed(request: bytes, *numbers: int, at: float = 1.0) -> Step:
+    """Targets close the connections of a request at this box."""
 
-    def step(suspects: Suspects) -> None:
+    def step(tracker: CrashTracker) -> None:
         for number in numbers:
-            suspects.closed(request, life(number), at)
+            tracker.connection_closed(request, life(number), at)
 
     return step
 
 
-def told(request: bytes, *numbers: int, at: float = 1.0) -> Step:
-    """Let another box report ends of targets under a request."""
-    report = CrashReport([EndsUnder(request, [life(number) for number in numbers])])
-    return lambda suspects: suspects.take_report(report, at)
+def crashes_reported(request: bytes, *numbers: int, at: float = 1.0) -> Step:
+    """Another box reports crashes under a request."""
+    report = CrashReport([RequestCrashes(request, [life(number) for number in numbers])])
+    return lambda tracker: tracker.handle_crash_report(report, at)
 
 
-def answered(request: bytes, at: float = 1.0) -> Step:
-    return lambda suspects: suspects.answered(request, at)
+def request_answered(request: bytes, at: float = 1.0) -> Step:
+    return lambda tracker: tracker.request_answered(request, at)
 
 
-def answered_elsewhere(request: bytes, at: float = 1.0) -> Step:
-    return lambda suspects: suspects.take_answered(RequestsAnswered([request]), at)
+def answer_announced(request: bytes, at: float = 1.0) -> Step:
+    return lambda tracker: tracker.handle_requests_answered(RequestsAnswered([request]), at)
 
 
-def told_held(request: bytes, left_s: float = HOLD_S, at: float = 1.0) -> Step:
+def hold_announced(request: bytes, left_s: float = HOLD_DURATION_S, at: float = 1.0) -> Step:
     news = RequestsHeld([HeldRequest(request, left_s * 1000.0)])
-    return lambda suspects: suspects.take_held(news, at)
+    return lambda tracker: tracker.handle_requests_held(news, at)
 
 
-def taken_back(request: bytes, *numbers: int, at: float = 1.0) -> Step:
-    """Take a request back from targets of this box."""
+def request_withdrawn(request: bytes, *numbers: int, at: float = 1.0) -> Step:
+    """This box withdraws a request from targets."""
 
-    def step(suspects: Suspects) -> None:
+    def step(tracker: CrashTracker) -> None:
         for number in numbers:
-            suspects.taken_back(request, life(number), at)
+            tracker.request_withdrawn(request, life(number), at)
 
     return step
 
 
-def refused(*numbers: int, at: float = 1.0) -> Step:
-    """Let targets refuse connections."""
+def connection_refused(*numbers: int, at: float = 1.0) -> Step:
+    """Targets refuse connections of this box."""
 
-    def step(suspects: Suspects) -> None:
+    def step(tracker: CrashTracker) -> None:
         for number in numbers:
-            suspects.refused(life(number), at)
+            tracker.connection_refused(life(number), at)
 
     return step
 
 
-def ticks(at: float) -> Step:
-    """Let the time come at which something is due."""
+def tick(at: float) -> Step:
+    """Run what is due at a time."""
 
-    def step(suspects: Suspects) -> None:
-        suspects.tick(at)
+    def step(tracker: CrashTracker) -> None:
+        tracker.tick(at)
 
     return step
 
 
-SETTLED = 1.0 + SETTLE_S
-"""When what became suspect at second 1 is judged."""
+DECIDED_AT = 1.0 + DECISION_DELAY_S
+"""When a request that became a suspect at second 1 is decided on."""
 
 
 @pytest.mark.parametrize(
     ("steps", "now", "held"),
     [
-        pytest.param([closed(ENDS, 1, 2, 3)], SETTLED, {ENDS}, id="three-ends"),
-        pytest.param([closed(ENDS, 1, 2, 3)], SETTLED - 0.01, set(), id="not-before-it-settled"),
-        pytest.param([closed(ENDS, 1, 2)], SETTLED, set(), id="two-ends"),
-        pytest.param([closed(ENDS, 1, 1, 1)], SETTLED, set(), id="one-target-counts-once"),
         pytest.param(
-            [closed(ENDS, 1, at=1.0), closed(ENDS, 2, at=60.0), closed(ENDS, 3, at=200.0)],
-            200.0 + SETTLE_S,
-            {ENDS},
-            id="one-at-a-time",
+            [connection_closed(CRASHING, 1, 2, 3)], DECIDED_AT, {CRASHING}, id="three-crashes"
         ),
         pytest.param(
-            [closed(ENDS, 1, 2), ticks(2.0 + EVIDENCE_MEMORY_S), closed(ENDS, 3, at=700.0)],
+            [connection_closed(CRASHING, 1, 2, 3)],
+            DECIDED_AT - 0.01,
+            set(),
+            id="not-before-the-decision-delay",
+        ),
+        pytest.param([connection_closed(CRASHING, 1, 2)], DECIDED_AT, set(), id="two-crashes"),
+        pytest.param(
+            [connection_closed(CRASHING, 1, 1, 1)], DECIDED_AT, set(), id="one-target-counts-once"
+        ),
+        pytest.param(
+            [
+                connection_closed(CRASHING, 1, at=1.0),
+                connection_closed(CRASHING, 2, at=60.0),
+                connection_closed(CRASHING, 3, at=200.0),
+            ],
+            200.0 + DECISION_DELAY_S,
+            {CRASHING},
+            id="one-target-at-a-time",
+        ),
+        pytest.param(
+            [
+                connection_closed(CRASHING, 1, 2),
+                tick(2.0 + EVIDENCE_RETENTION_S),
+                connection_closed(CRASHING, 3, at=700.0),
+            ],
             701.0,
             set(),
-            id="ends-of-long-ago",
+            id="crashes-past-retention",
         ),
         pytest.param(
-            [answered(ENDS, 0.9), closed(ENDS, 1, 2, 3)], SETTLED, set(), id="answered-before"
+            [request_answered(CRASHING, 0.9), connection_closed(CRASHING, 1, 2, 3)],
+            DECIDED_AT,
+            set(),
+            id="answered-before",
         ),
         pytest.param(
-            [closed(ENDS, 1, 2, 3), answered(ENDS, 1.2)], SETTLED, set(), id="answered-after"
+            [connection_closed(CRASHING, 1, 2, 3), request_answered(CRASHING, 1.2)],
+            DECIDED_AT,
+            set(),
+            id="answered-after",
         ),
         pytest.param(
-            [answered(ENDS, 0.9 - ANSWER_MEMORY_S), closed(ENDS, 1, 2, 3)],
-            SETTLED,
-            {ENDS},
+            [
+                request_answered(CRASHING, 0.9 - ANSWER_RETENTION_S),
+                connection_closed(CRASHING, 1, 2, 3),
+            ],
+            DECIDED_AT,
+            {CRASHING},
             id="answered-long-before",
         ),
         pytest.param(
-            [closed(ENDS, 1, 2, 3), answered_elsewhere(ENDS, 1.2)],
-            SETTLED,
+            [connection_closed(CRASHING, 1, 2, 3), answer_announced(CRASHING, 1.2)],
+            DECIDED_AT,
             set(),
             id="answered-elsewhere",
         ),
         pytest.param(
-            [closed(ENDS, 1), told(ENDS, 2), told(ENDS, 3)], SETTLED, {ENDS}, id="at-three-boxes"
+            [
+                connection_closed(CRASHING, 1),
+                crashes_reported(CRASHING, 2),
+                crashes_reported(CRASHING, 3),
+            ],
+            DECIDED_AT,
+            {CRASHING},
+            id="at-three-boxes",
+        ),
+        pytest.param(
+            [crashes_reported(CRASHING, 1, 2, 3)], DECIDED_AT, {CRASHING}, id="at-other-boxes-only"
         ),
-        pytest.param([told(ENDS, 1, 2, 3)], SETTLED, {ENDS}, id="at-other-boxes-only"),
         pytest.param(
-            [closed(ENDS, 1, 2, 3, 4, 5), closed(OTHER, 2, 3, 4)],
-            SETTLED,
-            {ENDS},
+            [connection_closed(CRASHING, 1, 2, 3, 4, 5), connection_closed(OTHER, 2, 3, 4)],
+            DECIDED_AT,
+            {CRASHING},
             id="bystander",
         ),
         pytest.param(
-            [closed(OTHER, 2, 3, 4), closed(ENDS, 1, 2, 3, 4, 5, at=1.1)],
-            SETTLED + 0.1,
-            {ENDS},
-            id="bystander-is-judged-with-what-explains-it",
+            [connection_closed(OTHER, 2, 3, 4), connection_closed(CRASHING, 1, 2, 3, 4, 5, at=1.1)],
+            DECIDED_AT + 0.1,
+            {CRASHING},
+            id="bystander-is-decided-on-with-the-cause",
         ),
         pytest.param(
-            [closed(ENDS, 1, 2, 3, 4), ticks(SETTLED), closed(OTHER, 1, 2, 3, at=1.6)],
+            [
+                connection_closed(CRASHING, 1, 2, 3, 4),
+                tick(DECIDED_AT),
+                connection_closed(OTHER, 1, 2, 3, at=1.6),
+            ],
             3.0,
-            {ENDS},
-            id="bystander-told-late",
+            {CRASHING},
+            id="bystander-reported-late",
         ),
         pytest.param(
             [
-                closed(ENDS, 1, 2, 3, 4),
-                ticks(SETTLED),
-                closed(ENDS, 5, 6, 7, at=1.6),
-                closed(OTHER, 5, 6, 7, at=1.6),
+                connection_closed(CRASHING, 1, 2, 3, 4),
+                tick(DECIDED_AT),
+                connection_closed(CRASHING, 5, 6, 7, at=1.6),
+                connection_closed(OTHER, 5, 6, 7, at=1.6),
             ],
             3.0,
-            {ENDS},
-            id="bystander-of-what-was-still-under-way",
+            {CRASHING},
+            id="bystander-of-later-crashes",
         ),
         pytest.param(
-            [closed(ENDS, 1, 2, 3, 4), closed(OTHER, 3, 5, 6, 7)],
-            SETTLED,
-            {ENDS, OTHER},
-            id="two-that-end-targets",
+            [connection_closed(CRASHING, 1, 2, 3, 4), connection_closed(OTHER, 3, 5, 6, 7)],
+            DECIDED_AT,
+            {CRASHING, OTHER},
+            id="two-that-crash-targets",
         ),
         pytest.param(
-            [closed(ENDS, 1, 2, 3), closed(OTHER, 1, 2, 3)],
-            SETTLED,
+            [connection_closed(CRASHING, 1, 2, 3), connection_closed(OTHER, 1, 2, 3)],
+            DECIDED_AT,
             set(),
             id="two-that-cannot-be-told-apart",
         ),
         pytest.param(
             [
-                closed(ENDS, 1, 2, 3),
-                closed(OTHER, 1, 2, 3),
-                ticks(SETTLED),
-                closed(ENDS, 4, at=5.0),
-                answered(OTHER, 5.0),
+                connection_closed(CRASHING, 1, 2, 3),
+                connection_closed(OTHER, 1, 2, 3),
+                tick(DECIDED_AT),
+                connection_closed(CRASHING, 4, at=5.0),
+                request_answered(OTHER, 5.0),
             ],
-            5.0 + SETTLE_S,
-            {ENDS},
-            id="two-that-one-target-told-apart",
+            5.0 + DECISION_DELAY_S,
+            {CRASHING},
+            id="two-that-a-trial-tells-apart",
         ),
         pytest.param(
             [
-                closed(ENDS, 1, 2, 3),
-                closed(OTHER, 1, 2, 3),
-                ticks(SETTLED),
-                closed(ENDS, 4, at=5.0),
-                closed(OTHER, 4, at=5.0),
+                connection_closed(CRASHING, 1, 2, 3),
+                connection_closed(OTHER, 1, 2, 3),
+                tick(DECIDED_AT),
+                connection_closed(CRASHING, 4, at=5.0),
+                connection_closed(OTHER, 4, at=5.0),
             ],
-            5.0 + SETTLE_S,
-            {ENDS, OTHER},
+            5.0 + DECISION_DELAY_S,
+            {CRASHING, OTHER},
             id="two-that-nothing-tells-apart",
         ),
         pytest.param(
             [
-                closed(ENDS, 1, 2, 3, 4),
-                closed(OTHER, 1, 2, 3),
-                ticks(SETTLED),
-                closed(OTHER, 9, at=20.0),
-                ticks(20.0 + SETTLE_S),
+                connection_closed(CRASHING, 1, 2, 3, 4),
+                connection_closed(OTHER, 1, 2, 3),
+                tick(DECIDED_AT),
+                connection_closed(OTHER, 9, at=20.0),
+                tick(20.0 + DECISION_DELAY_S),
             ],
             21.0,
-            {ENDS, OTHER},
+            {CRASHING, OTHER},
             id="two-at-the-same-targets-one-after-the-other",
         ),
         pytest.param(
-            [closed(ENDS, 1, 2, 3), ticks(SETTLED), ticks(2.0 + HOLD_S), closed(ENDS, 4, at=700.0)],
+            [
+                connection_closed(CRASHING, 1, 2, 3),
+                tick(DECIDED_AT),
+                tick(2.0 + HOLD_DURATION_S),
+                connection_closed(CRASHING, 4, at=700.0),
+            ],
             701.0,
-            {ENDS},
-            id="again-after-it-was-held",
+            {CRASHING},
+            id="held-again-after-its-hold-expired",
         ),
         pytest.param(
-            [taken_back(ENDS, 1, 2, 3, at=0.5), refused(1, 2, 3)],
-            SETTLED,
-            {ENDS},
-            id="taken-back-from-targets-that-end-all-the-same",
+            [request_withdrawn(CRASHING, 1, 2, 3, at=0.5), connection_refused(1, 2, 3)],
+            DECIDED_AT,
+            {CRASHING},
+            id="withdrawn-from-targets-that-crash-later",
         ),
         pytest.param(
-            [taken_back(ENDS, 1, 2, 3, 4), closed(OTHER, 1, 2, 3)],
-            SETTLED,
+            [request_withdrawn(CRASHING, 1, 2, 3, 4), connection_closed(OTHER, 1, 2, 3)],
+            DECIDED_AT,
             set(),
-            id="taken-back-from-where-another-one-is-closed",
+            id="withdrawn-where-another-request-is-closed",
         ),
         pytest.param(
-            [taken_back(ENDS, 1, 2, 3, at=1.0 - LEFT_S), refused(1, 2, 3)],
-            SETTLED,
+            [
+                request_withdrawn(CRASHING, 1, 2, 3, at=1.0 - WITHDRAWN_RETENTION_S),
+                connection_refused(1, 2, 3),
+            ],
+            DECIDED_AT,
             set(),
-            id="taken-back-long-before",
+            id="withdrawn-past-retention",
         ),
-        pytest.param([told_held(ENDS)], 1.1, {ENDS}, id="held-elsewhere"),
-        pytest.param([told_held(ENDS, left_s=2.0)], 3.1, set(), id="held-elsewhere-until-then"),
-        pytest.param([told_held(ENDS, left_s=-5.0)], 1.1, set(), id="word-that-is-over"),
+        pytest.param([hold_announced(CRASHING)], 1.1, {CRASHING}, id="held-elsewhere"),
         pytest.param(
-            [told_held(ENDS, left_s=9e9)], 1.1 + HOLD_S, set(), id="word-of-too-long-a-time"
+            [hold_announced(CRASHING, left_s=2.0)],
+            3.1,
+            set(),
+            id="held-elsewhere-for-a-shorter-time",
         ),
         pytest.param(
-            [answered(ENDS, 0.9), told_held(ENDS)], 1.1, set(), id="held-elsewhere-but-answered"
+            [hold_announced(CRASHING, left_s=-5.0)], 1.1, set(), id="announced-hold-already-expired"
         ),
         pytest.param(
-            [closed(ENDS, 1, 2, 3), ticks(SETTLED), answered(ENDS, 2.0)], 2.1, set(), id="cleared"
+            [hold_announced(CRASHING, left_s=9e9)],
+            1.1 + HOLD_DURATION_S,
+            set(),
+            id="announced-hold-too-long",
+        ),
+        pytest.param(
+            [request_answered(CRASHING, 0.9), hold_announced(CRASHING)],
+            1.1,
+            set(),
+            id="held-elsewhere-but-answered",
+        ),
+        pytest.param(
+            [
+                connection_closed(CRASHING, 1, 2, 3),
+                tick(DECIDED_AT),
+                request_answered(CRASHING, 2.0),
+            ],
+            2.1,
+            set(),
+            id="cleared",
+        ),
+        pytest.param(
+            [connection_closed(CRASHING, 1, 2, 3), tick(DECIDED_AT)],
+            2.0 + HOLD_DURATION_S,
+            set(),
+            id="expired",
         ),
-        pytest.param([closed(ENDS, 1, 2, 3), ticks(SETTLED)], 2.0 + HOLD_S, set(), id="over"),
     ],
 )
 def test_held(steps: list[Step], now: float, held: set[bytes]) -> None:
-    suspects = Suspects()
+    tracker = CrashTracker()
     for step in steps:
-        step(suspects)
-    suspects.tick(now)
-    shut = {one for one in (ENDS, OTHER) if suspects.passage(one, now) is Passage.SHUT}
+        step(tracker)
+    tracker.tick(now)
+    shut = {one for one in (CRASHING, OTHER) if tracker.passage(one, now) is Passage.SHUT}
     assert shut == held
-    assert suspects.held == len(held)
-    assert {row.fingerprint for row in suspects.held_requests(now).rows} == held
-
-
-def test_suspect_waits_until_it_is_judged() -> None:
-    suspects = Suspects()
-    closed(ENDS, 1, 2)(suspects)
-    assert suspects.passage(ENDS, 1.0) is Passage.OPEN
-    assert suspects.waits_s(ENDS, 1.0) == 0.0
-    closed(ENDS, 3)(suspects)
-    assert suspects.passage(ENDS, 1.0) is Passage.WAIT
-    assert suspects.waits_s(ENDS, 1.0) == SETTLE_S
-    suspects.tick(suspects.next_wake())
-    suspects.tick(suspects.next_wake())
-    assert suspects.passage(ENDS, SETTLED) is Passage.SHUT
-    assert suspects.waits_s(ENDS, SETTLED) == HOLD_S
-    assert suspects.next_wake() == NEVER
-
-
-def test_bystander_of_many_ends_goes_to_one_target_first() -> None:
-    suspects = Suspects()
-    closed(ENDS, 1, 2, 3, 4)(suspects)
-    closed(OTHER, 1, 2, 3)(suspects)
-    assert suspects.passage(OTHER, 1.0) is Passage.WAIT
-    suspects.tick(SETTLED)
-    assert suspects.passage(OTHER, SETTLED) is Passage.ONE
-    assert suspects.waits_s(OTHER, SETTLED) == 0.0
-    suspects.begin_trial(OTHER, SETTLED)
-    assert suspects.passage(OTHER, SETTLED) is Passage.WAIT
-    assert suspects.passage(OTHER, SETTLED + TRIAL_S) is Passage.ONE
-    answered(OTHER, SETTLED + 0.1)(suspects)
-    assert suspects.passage(OTHER, SETTLED + 0.1) is Passage.OPEN
-    assert messages(suspects.tick(SETTLED + 0.1))[-1] == RequestsAnswered([OTHER])
-
-
-def test_bystander_of_few_ends_goes_on_as_before() -> None:
-    suspects = Suspects()
-    closed(ENDS, 1, 2, 3, 4)(suspects)
-    closed(OTHER, 1, 2)(suspects)
-    suspects.tick(SETTLED)
-    assert suspects.passage(OTHER, SETTLED) is Passage.OPEN
-
-
-def test_requests_with_the_same_ends_go_to_one_target_each() -> None:
-    suspects = Suspects()
-    closed(ENDS, 1, 2, 3)(suspects)
-    closed(OTHER, 1, 2, 3)(suspects)
-    suspects.tick(SETTLED)
-    assert {suspects.passage(one, SETTLED) for one in (ENDS, OTHER)} == {Passage.ONE}
-
-
-def test_request_that_was_held_goes_to_one_target_first() -> None:
-    suspects = Suspects()
-    closed(ENDS, 1, 2, 3)(suspects)
-    suspects.tick(SETTLED)
-    suspects.tick(SETTLED + HOLD_S)
-    assert suspects.passage(ENDS, SETTLED + HOLD_S) is Passage.ONE
-    closed(ENDS, 4, at=SETTLED + HOLD_S)(suspects)
-    assert suspects.passage(ENDS, SETTLED + HOLD_S) is Passage.WAIT
-    suspects.tick(SETTLED + HOLD_S + SETTLE_S)
-    assert suspects.passage(ENDS, SETTLED + HOLD_S + SETTLE_S) is Passage.SHUT
-
-
-def test_verdict_does_not_wait_for_ever_for_newer_suspects() -> None:
-    suspects = Suspects()
-    closed(ENDS, 1, 2, 3)(suspects)
+    assert tracker.held_count == len(held)
+    assert {row.fingerprint for row in tracker.held_requests(now).rows} == held
+
+
+def test_suspect_waits_for_the_decision() -> None:
+    tracker = CrashTracker()
+    connection_closed(CRASHING, 1, 2)(tracker)
+    assert tracker.passage(CRASHING, 1.0) is Passage.OPEN
+    assert tracker.retry_after_s(CRASHING, 1.0) == 0.0
+    connection_closed(CRASHING, 3)(tracker)
+    assert tracker.passage(CRASHING, 1.0) is Passage.WAIT
+    assert tracker.retry_after_s(CRASHING, 1.0) == DECISION_DELAY_S
+    tracker.tick(tracker.next_due_at())
+    tracker.tick(tracker.next_due_at())
+    assert tracker.passage(CRASHING, DECIDED_AT) is Passage.SHUT
+    assert tracker.retry_after_s(CRASHING, DECIDED_AT) == HOLD_DURATION_S
+    assert tracker.next_due_at() == NEVER
+
+
+def test_bystander_of_many_crashes_goes_on_trial() -> None:
+    tracker = CrashTracker()
+    connection_closed(CRASHING, 1, 2, 3, 4)(tracker)
+    connection_closed(OTHER, 1, 2, 3)(tracker)
+    assert tracker.passage(OTHER, 1.0) is Passage.WAIT
+    tracker.tick(DECIDED_AT)
+    assert tracker.passage(OTHER, DECIDED_AT) is Passage.ONE
+    assert tracker.retry_after_s(OTHER, DECIDED_AT) == 0.0
+    tracker.start_trial(OTHER, DECIDED_AT)
+    assert tracker.passage(OTHER, DECIDED_AT) is Passage.WAIT
+    assert tracker.passage(OTHER, DECIDED_AT + TRIAL_TIMEOUT_S) is Passage.ONE
+    request_answered(OTHER, DECIDED_AT + 0.1)(tracker)
+    assert tracker.passage(OTHER, DECIDED_AT + 0.1) is Passage.OPEN
+    assert messages(tracker.tick(DECIDED_AT + 0.1))[-1] == RequestsAnswered([OTHER])
+
+
+def test_bystander_of_few_crashes_stays_open() -> None:
+    tracker = CrashTracker()
+    connection_closed(CRASHING, 1, 2, 3, 4)(tracker)
+    connection_closed(OTHER, 1, 2)(tracker)
+    tracker.tick(DECIDED_AT)
+    assert tracker.passage(OTHER, DECIDED_AT) is Passage.OPEN
+
+
+def test_requests_with_identical_crashes_go_on_trial() -> None:
+    tracker = CrashTracker()
+    connection_closed(CRASHING, 1, 2, 3)(tracker)
+    connection_closed(OTHER, 1, 2, 3)(tracker)
+    tracker.tick(DECIDED_AT)
+    assert {tracker.passage(one, DECIDED_AT) for one in (CRASHING, OTHER)} == {Passage.ONE}
+
+
+def test_request_goes_on_trial_after_its_hold() -> None:
+    tracker = CrashTracker()
+    connection_closed(CRASHING, 1, 2, 3)(tracker)
+    tracker.tick(DECIDED_AT)
+    tracker.tick(DECIDED_AT + HOLD_DURATION_S)
+    assert tracker.passage(CRASHING, DECIDED_AT + HOLD_DURATION_S) is Passage.ONE
+    connection_closed(CRASHING, 4, at=DECIDED_AT + HOLD_DURATION_S)(tracker)
+    assert tracker.passage(CRASHING, DECIDED_AT + HOLD_DURATION_S) is Passage.WAIT
+    tracker.tick(DECIDED_AT + HOLD_DURATION_S + DECISION_DELAY_S)
+    assert (
+        tracker.passage(CRASHING, DECIDED_AT + HOLD_DURATION_S + DECISION_DELAY_S) is Passage.SHUT
+    )
+
+
+def test_decision_is_not_delayed_forever_by_newer_suspects() -> None:
+    tracker = CrashTracker()
+    connection_closed(CRASHING, 1, 2, 3)(tracker)
     at = 1.0
-    while suspects.passage(ENDS, at) is not Passage.SHUT:
+    while tracker.passage(CRASHING, at) is not Passage.SHUT:
         at += 0.1
         newer = b"%f" % at
-        closed(newer, *range(10, 20), at=at)(suspects)
-        suspects.tick(at)
-        assert at < 1.5 + 2 * LONGEST_SETTLE_S
-        suspects.take_answered(RequestsAnswered([newer]), at)
+        connection_closed(newer, *range(10, 20), at=at)(tracker)
+        tracker.tick(at)
+        assert at < 1.5 + 2 * MAX_DECISION_DELAY_S
+        tracker.handle_requests_answered(RequestsAnswered([newer]), at)
 
 
 def messages(commands: list[Command]) -> list[object]:
-    return [command.message for command in commands if isinstance(command, TellAll)]
+    return [command.message for command in commands if isinstance(command, Broadcast)]
 
 
 @pytest.mark.parametrize(
-    ("steps", "said"),
+    ("steps", "expected"),
     [
-        pytest.param([closed(ENDS, 1)], [CrashReport([EndsUnder(ENDS, [life(1)])])], id="one-end"),
-        pytest.param([closed(ENDS, 1), answered(ENDS)], [], id="answered-in-time"),
-        pytest.param([told(ENDS, 1)], [], id="nothing-that-was-only-told"),
-        pytest.param([answered(ENDS)], [], id="nothing-of-answers-to-what-nobody-suspects"),
         pytest.param(
-            [told(ENDS, 1), answered(ENDS)], [RequestsAnswered([ENDS])], id="answer-to-a-suspect"
+            [connection_closed(CRASHING, 1)],
+            [CrashReport([RequestCrashes(CRASHING, [life(1)])])],
+            id="one-crash",
+        ),
+        pytest.param(
+            [connection_closed(CRASHING, 1), request_answered(CRASHING)], [], id="answered-in-time"
+        ),
+        pytest.param([crashes_reported(CRASHING, 1)], [], id="not-what-another-box-reported"),
+        pytest.param([request_answered(CRASHING)], [], id="not-an-answer-without-evidence"),
+        pytest.param(
+            [crashes_reported(CRASHING, 1), request_answered(CRASHING)],
+            [RequestsAnswered([CRASHING])],
+            id="answer-to-a-suspect",
         ),
         pytest.param(
-            [answered(ENDS), told(ENDS, 1)], [RequestsAnswered([ENDS])], id="suspect-was-answered"
+            [request_answered(CRASHING), crashes_reported(CRASHING, 1)],
+            [RequestsAnswered([CRASHING])],
+            id="suspect-was-answered",
         ),
         pytest.param(
-            [told_held(ENDS), answered(ENDS)], [RequestsAnswered([ENDS])], id="answer-to-a-held-one"
+            [hold_announced(CRASHING), request_answered(CRASHING)],
+            [RequestsAnswered([CRASHING])],
+            id="answer-to-a-held-one",
         ),
     ],
 )
-def test_what_others_are_told(steps: list[Step], said: list[object]) -> None:
-    suspects = Suspects()
+def test_messages_to_other_boxes(steps: list[Step], expected: list[object]) -> None:
+    tracker = CrashTracker()
     for step in steps:
-        step(suspects)
-    assert messages(suspects.tick(1.0 + REPORT_AFTER_S)) == said
+        step(tracker)
+    assert messages(tracker.tick(1.0 + REPORT_DELAY_S)) == expected
 
 
-def test_end_on_trial_is_told_at_once() -> None:
-    suspects = Suspects()
-    closed(ENDS, 1, 2, 3)(suspects)
-    closed(OTHER, 1, 2, 3)(suspects)
-    suspects.tick(SETTLED)
-    closed(ENDS, 4, at=SETTLED)(suspects)
-    assert suspects.next_wake() == SETTLED
-    assert messages(suspects.tick(SETTLED)) == [CrashReport([EndsUnder(ENDS, [life(4)])])]
+def test_crash_on_trial_is_reported_at_once() -> None:
+    tracker = CrashTracker()
+    connection_closed(CRASHING, 1, 2, 3)(tracker)
+    connection_closed(OTHER, 1, 2, 3)(tracker)
+    tracker.tick(DECIDED_AT)
+    connection_closed(CRASHING, 4, at=DECIDED_AT)(tracker)
+    assert tracker.next_due_at() == DECIDED_AT
+    assert messages(tracker.tick(DECIDED_AT)) == [
+        CrashReport([RequestCrashes(CRASHING, [life(4)])])
+    ]
 
 
-def test_only_boxes_that_met_it_tell_that_it_is_held() -> None:
-    met, heard = Suspects(), Suspects()
-    closed(ENDS, 1, 2, 3)(met)
-    told(ENDS, 1, 2, 3)(heard)
-    held = RequestsHeld([HeldRequest(ENDS, HOLD_S * 1000.0)])
-    assert messages(met.tick(SETTLED))[-1] == held
-    assert messages(heard.tick(SETTLED)) == []
+def test_only_boxes_that_saw_a_crash_announce_the_hold() -> None:
+    witness, informed = CrashTracker(), CrashTracker()
+    connection_closed(CRASHING, 1, 2, 3)(witness)
+    crashes_reported(CRASHING, 1, 2, 3)(informed)
+    held = RequestsHeld([HeldRequest(CRASHING, HOLD_DURATION_S * 1000.0)])
+    assert messages(witness.tick(DECIDED_AT))[-1] == held
+    assert messages(informed.tick(DECIDED_AT)) == []
 
 
-def test_verdicts_are_written_down() -> None:
-    suspects = Suspects()
-    closed(ENDS, 1, 2, 3)(suspects)
-    assert Held(ENDS, ENDS_TO_HOLD, HOLD_S) in suspects.tick(SETTLED)
-    answered(ENDS, 2.0)(suspects)
-    assert Cleared(ENDS) in suspects.tick(2.0)
+def test_decisions_are_commands_for_the_log() -> None:
+    tracker = CrashTracker()
+    connection_closed(CRASHING, 1, 2, 3)(tracker)
+    assert HoldStarted(CRASHING, MIN_CRASHES_TO_HOLD, HOLD_DURATION_S) in tracker.tick(DECIDED_AT)
+    request_answered(CRASHING, 2.0)(tracker)
+    assert HoldCleared(CRASHING) in tracker.tick(2.0)
 
 
-def test_ends_that_nothing_explains_any_more_are_forgotten() -> None:
-    suspects = Suspects()
-    closed(ENDS, 1, 2, 3)(suspects)
-    closed(OTHER, 1, 2, 3)(suspects)
-    suspects.tick(SETTLED)
-    assert suspects._cause_by_life
-    suspects.forget_old(SETTLED + EVIDENCE_MEMORY_S)
-    assert not suspects._cause_by_life
+def test_causes_are_evicted_with_their_hold_or_trial() -> None:
+    tracker = CrashTracker()
+    connection_closed(CRASHING, 1, 2, 3)(tracker)
+    connection_closed(OTHER, 1, 2, 3)(tracker)
+    tracker.tick(DECIDED_AT)
+    assert tracker._cause_by_life
+    tracker.evict_expired(DECIDED_AT + EVIDENCE_RETENTION_S)
+    assert not tracker._cause_by_life
 
 
 def test_memory_and_messages_are_bounded() -> None:
-    suspects = Suspects()
-    for number in range(MOST_SUSPECTS + 100):
-        suspects.closed(b"%d" % number, life(number), 1.0)
-    closed(ENDS, *range(9_000, 9_000 + 2 * MOST_LIVES_TOLD))(suspects)
-    (report,) = messages(suspects.tick(1.0 + REPORT_AFTER_S))
+    tracker = CrashTracker()
+    for number in range(MAX_SUSPECTS + 100):
+        tracker.connection_closed(b"%d" % number, life(number), 1.0)
+    connection_closed(CRASHING, *range(9_000, 9_000 + 2 * MAX_LIVES_PER_ROW))(tracker)
+    (report,) = messages(tracker.tick(1.0 + REPORT_DELAY_S))
     assert isinstance(report, CrashReport)
-    assert len(report.rows) == MOST_ROWS_TOLD
-    assert report.rows[0].fingerprint == ENDS
-    assert len(report.rows[0].lives) == MOST_LIVES_TOLD
-    for number in range(MOST_HELD + 100):
-        told_held(b"%d" % number)(suspects)
-    assert suspects.held == MOST_HELD
-    for number in range(MOST_LEFT + 100):
-        suspects.taken_back(ENDS, life(number), 2.0)
-    assert len(suspects._taken_back) == MOST_LEFT
-    for number in range(MOST_ANSWERED + 100):
-        suspects.answered(b"a%d" % number, 2.0)
-    suspects.forget_old(2.0)
-    assert len(suspects._answered) == MOST_ANSWERED
-    suspects.forget_old(2.0 + ANSWER_MEMORY_S)
-    assert not suspects._answered
-    assert not suspects._taken_back
+    assert len(report.rows) == MAX_ROWS_PER_REPORT
+    assert report.rows[0].fingerprint == CRASHING
+    assert len(report.rows[0].lives) == MAX_LIVES_PER_ROW
+    for number in range(MAX_HELD_REQUESTS + 100):
+        hold_announced(b"%d" % number)(tracker)
+    assert tracker.held_count == MAX_HELD_REQUESTS
+    for number in range(MAX_WITHDRAWN_TARGETS + 100):
+        tracker.request_withdrawn(CRASHING, life(number), 2.0)
+    assert len(tracker._withdrawn) == MAX_WITHDRAWN_TARGETS
+    for number in range(MAX_ANSWERED_REQUESTS + 100):
+        tracker.request_answered(b"a%d" % number, 2.0)
+    tracker.evict_expired(2.0)
+    assert len(tracker._answered) == MAX_ANSWERED_REQUESTS
+    tracker.evict_expired(2.0 + ANSWER_RETENTION_S)
+    assert not tracker._answered
+    assert not tracker._withdrawn
--- a/trackwheel/quarantine/__init__.py
+++ b/trackwheel/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the targets which run them: found by all boxes, and kept from targets."""
+"""Detection of requests that crash the targets running them, shared by all boxes."""
--- a/trackwheel/quarantine/const.py
+++ b/trackwheel/quarantine/const.py
@@ -1,52 +1,56 @@
-"""Numbers of the quarantine."""
+"""Constants of the quarantine."""
 
 from typing import Final
 
 NEVER: Final = float("inf")
-"""A time that does not come."""
+"""Time of an event that is not scheduled."""
 
-ENDS_TO_HOLD: Final = 3
-"""So many targets have ended under a request, and none has answered it, when it is held.
+MIN_CRASHES_TO_HOLD: Final = 3
+"""Distinct targets that crash under a request, none having answered it, before it is held.
 
-One or two are met by any request when targets fail. Three without an answer were met in an incident
-by the request that ended them and by requests that were at the same targets; those are told apart
-by what they have in common (see `Suspects`).
+Any request can meet one or two crashes while targets fail. In an incident, three without an answer
+were met by the request that caused the crashes and by requests running at the same targets; these
+are told apart by the crashes they share (see `CrashTracker`).
 """
-SETTLE_S: Final = 0.5
-"""Time between the third end and the verdict (seconds). In it boxes tell each other what ended
-under which requests, and who was answered: 0.15 s to the report, a new link over the longest way
-0.1 s."""
-LONGEST_SETTLE_S: Final = 2.0
-"""A verdict waits no longer than this for requests with more ends, whose own time is not over. The
-strictest platform known counts what is sent from four seconds after the third end on."""
-REPORT_AFTER_S: Final = 0.15
-"""Time between an end and its report to the other boxes (seconds). Most bystanders are answered by
-another target within it, and need no report."""
-TRIAL_S: Final = 2.0
-"""How long a request that may go to one target waits for its end, before another one may."""
-LEFT_S: Final = 1.0
-"""How long a target may still run a request that was taken back from it (seconds). Most targets
-drop such a request; one that ends within this time may have ended under it."""
-MOST_LEFT: Final = 5_000
-"""Requests taken back that are remembered, some 200 bytes each."""
-HOLD_S: Final = 600.0
-"""How long a request is held (seconds). Whoever mends targets needs minutes. After it the request
-may go to one target, and to others once that has answered."""
-ANSWER_MEMORY_S: Final = 10.0
-"""How long an answer by a target clears its request: as long as the longest requests last."""
-EVIDENCE_MEMORY_S: Final = 600.0
-"""How long the end of a target under a request is remembered: a request that asks one target at a
-time comes again seconds or minutes later."""
-TELL_AGAIN_S: Final = 1.0
-"""How often boxes that watch the store tell the others which requests are held: news that were
-lost, and boxes that have just started, are made up for within it."""
-MOST_SUSPECTS: Final = 2_000
-"""Requests with evidence that are remembered, some 200 bytes each; the oldest are dropped."""
-MOST_HELD: Final = 500
-"""Requests that are held at most, 40 bytes each in a message."""
-MOST_ANSWERED: Final = 20_000
+DECISION_DELAY_S: Final = 0.5
+"""Delay between the third crash and the decision to hold (seconds). Boxes exchange crashes and
+answers in the meantime: a report leaves after 0.15 s, and opening a connection over the longest
+route takes 0.1 s."""
+MAX_DECISION_DELAY_S: Final = 2.0
+"""Upper bound of that delay while a request with more crashes is still waiting for its own
+decision (seconds). The strictest platform known counts requests that are sent later than four
+seconds after the third crash."""
+REPORT_DELAY_S: Final = 0.15
+"""Delay between a crash and its report to the other boxes (seconds). Most bystanders are answered
+by another target within it and need no report."""
+TRIAL_TIMEOUT_S: Final = 2.0
+"""How long a request on trial waits for the result of its single target before another target may
+be tried (seconds)."""
+WITHDRAWN_RETENTION_S: Final = 1.0
+"""How long a target may keep running a request that was withdrawn from it (seconds). Most targets
+drop such a request, but a crash within this time may be due to it."""
+MAX_WITHDRAWN_TARGETS: Final = 5_000
+"""Targets whose withdrawn requests are remembered, some 200 bytes for each request."""
+HOLD_DURATION_S: Final = 600.0
+"""How long a request is held (seconds). Repairing targets takes an operator minutes. Afterwards
+the request goes to a single target, and to others once that one has answered."""
+ANSWER_RETENTION_S: Final = 10.0
+"""How long an answer from a target clears its request (seconds): as long as the longest requests
+take."""
+EVIDENCE_RETENTION_S: Final = 600.0
+"""How long a crash is counted against a request (seconds). A request that is sent to one target at
+a time returns seconds or minutes later."""
+REBROADCAST_INTERVAL_S: Final = 1.0
+"""Interval at which boxes that watch the store broadcast the held requests again (seconds). It
+bounds how long a box that lost a message or has just started lacks them."""
+MAX_SUSPECTS: Final = 2_000
+"""Requests for which crashes are recorded, some 200 bytes each; the oldest are evicted."""
+MAX_HELD_REQUESTS: Final = 500
+"""Requests that are held at the same time, 40 bytes each in a message."""
+MAX_ANSWERED_REQUESTS: Final = 20_000
 """Answered requests that are remembered, some 100 bytes each."""
-MOST_LIVES_TOLD: Final = 64
-"""Ends under one request that a report names."""
-MOST_ROWS_TOLD: Final = 32
-"""Requests that a report names, those with the most ends first; the rest follow in the next one."""
+MAX_LIVES_PER_ROW: Final = 64
+"""Crashed targets listed for one request in a report."""
+MAX_ROWS_PER_REPORT: Final = 32
+"""Requests listed in one report, those with the most crashes first; the others follow in the next
+report."""
--- a/trackwheel/quarantine/evidence.py
+++ b/trackwheel/quarantine/evidence.py
@@ -1,66 +1,72 @@
-"""What counts against one request."""
+"""Crashes recorded against one request, and its trial at a single target."""
 
 from collections.abc import Iterable, Set
 
-from trackwheel.quarantine.const import ENDS_TO_HOLD, NEVER, REPORT_AFTER_S, SETTLE_S, TRIAL_S
+from trackwheel.quarantine.const import (
+    DECISION_DELAY_S,
+    MIN_CRASHES_TO_HOLD,
+    NEVER,
+    REPORT_DELAY_S,
+    TRIAL_TIMEOUT_S,
+)
 from trackwheel.relay.models import Life
 
 
 class Evidence:
-    """The targets that ended under one request, none of which was answered (monotonic seconds)."""
+    """Targets that crashed under one request without answering it (times in monotonic seconds)."""
 
     def __init__(self) -> None:
         self.lives: set[Life] = set()
-        self.own: set[Life] = set()
-        """Those that ended under it at this box."""
-        self.last_at = 0.0
+        self.own_lives: set[Life] = set()
+        """Targets whose crashes this box has seen itself."""
+        self.last_crash_at = 0.0
         self.report_at = NEVER
-        self.is_told = False
-        """Whether other boxes know of it too."""
+        self.is_known_to_peers = False
+        """Whether other boxes have recorded crashes of this request too."""
         self.suspect_since = NEVER
 
     @property
     def due_at(self) -> float:
-        """Return when it is to be reported or judged."""
-        return min(self.report_at, self.suspect_since + SETTLE_S)
+        """Return when the next report or decision is due."""
+        return min(self.report_at, self.suspect_since + DECISION_DELAY_S)
 
-    def add(self, lives: Iterable[Life], enough: int, now: float) -> None:
-        """Take ends of targets; so many are enough to be a suspect."""
+    def add(self, lives: Iterable[Life], threshold: int, now: float) -> None:
+        """Record crashed targets; the request becomes a suspect at `threshold` of them."""
         self.lives.update(lives)
-        self.last_at = now
-        if len(self.lives) >= enough and self.suspect_since == NEVER:
+        self.last_crash_at = now
+        if len(self.lives) >= threshold and self.suspect_since == NEVER:
             self.suspect_since = now
 
     def add_own(self, life: Life, now: float) -> None:
-        """Take that one of the targets ended at this box; others are told of it soon."""
-        self.own.add(life)
+        """Record that this box has seen one of the crashes itself, and schedule its report."""
+        self.own_lives.add(life)
         if self.report_at == NEVER:
-            self.report_at = now + REPORT_AFTER_S
+            self.report_at = now + REPORT_DELAY_S
 
-    def told(self) -> None:
-        """Take that the other boxes are told what ended at this one."""
+    def mark_reported(self) -> None:
+        """Record that the crashes seen by this box have been reported."""
         self.report_at = NEVER
-        self.is_told = True
+        self.is_known_to_peers = True
 
-    def take_out(self, explained: Set[Life]) -> None:
-        """Take that another request ended some of the targets."""
-        self.lives -= explained
-        self.own -= explained
-        if len(self.lives) < ENDS_TO_HOLD:
+    def remove_attributed(self, lives: Set[Life]) -> None:
+        """Remove crashes that are attributed to another request."""
+        self.lives -= lives
+        self.own_lives -= lives
+        if len(self.lives) < MIN_CRASHES_TO_HOLD:
             self.suspect_since = NEVER
 
 
 class Trial:
-    """A request that may go to one target, until when, and since when it is at one."""
+    """A period in which a request goes to a single target before it may go to others."""
 
-    def __init__(self, until: float) -> None:
-        self.until = until
-        self.began_at = -NEVER
+    def __init__(self, expires_at: float) -> None:
+        self.expires_at = expires_at
+        self.started_at = -NEVER
 
-    def is_on(self, now: float) -> bool:
-        """Return whether the request still goes to one target first."""
-        return now < self.until
+    def is_active(self, now: float) -> bool:
+        """Return whether the request still has to pass a single target first."""
+        return now < self.expires_at
 
-    def is_at_target(self, now: float) -> bool:
-        """Return whether its one target has not ended it yet."""
-        return now - self.began_at < TRIAL_S
+    def is_in_progress(self, now: float) -> bool:
+        """Return whether the result of the single target is still awaited."""
+        return now - self.started_at < TRIAL_TIMEOUT_S
--- a/trackwheel/quarantine/memory.py
+++ b/trackwheel/quarantine/memory.py
@@ -1,13 +1,19 @@
-"""Memories of the quarantine that grow with the load, each bounded (monotonic seconds)."""
+"""Bounded records of recently answered and withdrawn requests (monotonic seconds)."""
 
 from collections.abc import Iterator
 
-from trackwheel.quarantine.const import ANSWER_MEMORY_S, LEFT_S, MOST_ANSWERED, MOST_LEFT, NEVER
+from trackwheel.quarantine.const import (
+    ANSWER_RETENTION_S,
+    MAX_ANSWERED_REQUESTS,
+    MAX_WITHDRAWN_TARGETS,
+    NEVER,
+    WITHDRAWN_RETENTION_S,
+)
 from trackwheel.relay.models import Life
 
 
 class AnsweredRequests:
-    """Remember which requests targets have answered lately."""
+    """Requests that targets have answered recently."""
 
     def __init__(self) -> None:
         self._at_by_request: dict[bytes, float] = {}
@@ -16,45 +22,47 @@
         return len(self._at_by_request)
 
     def add(self, request: bytes, now: float) -> None:
-        """Take that a target answered a request."""
+        """Record that a target answered a request."""
         self._at_by_request[request] = now
 
-    def lately(self, request: bytes, now: float) -> bool:
-        """Return whether an answer to a request still counts."""
-        return now - self._at_by_request.get(request, -NEVER) < ANSWER_MEMORY_S
+    def is_recent(self, request: bytes, now: float) -> bool:
+        """Return whether a request was answered within the retention time."""
+        return now - self._at_by_request.get(request, -NEVER) < ANSWER_RETENTION_S
 
-    def forget_old(self, now: float) -> None:
-        """Drop answers that count no more, and the oldest ones beyond a number."""
+    def evict_expired(self, now: float) -> None:
+        """Evict answers past the retention time, and the oldest ones above the limit."""
         kept = [
             (request, at)
             for request, at in self._at_by_request.items()
-            if now - at < ANSWER_MEMORY_S
+            if now - at < ANSWER_RETENTION_S
         ]
-        self._at_by_request = dict(kept[-MOST_ANSWERED:])
+        self._at_by_request = dict(kept[-MAX_ANSWERED_REQUESTS:])
 
 
-class TakenBackRequests:
-    """Remember which requests were taken back from targets a moment ago."""
+class WithdrawnRequests:
+    """Requests that were withdrawn from targets recently, by target."""
 
     def __init__(self) -> None:
-        self._left_by_life: dict[Life, list[tuple[bytes, float]]] = {}
+        self._withdrawn_by_life: dict[Life, list[tuple[bytes, float]]] = {}
 
     def __len__(self) -> int:
-        return len(self._left_by_life)
+        return len(self._withdrawn_by_life)
 
     def add(self, request: bytes, life: Life, now: float) -> None:
-        """Take that a request was taken back from a target, which may run it all the same."""
-        if len(self._left_by_life) < MOST_LEFT:
-            self._left_by_life.setdefault(life, []).append((request, now))
-
-    def take(self, life: Life, now: float) -> Iterator[bytes]:
-        """Give the requests that a target which has ended may have run, each once."""
-        for request, left_at in self._left_by_life.pop(life, ()):
-            if now - left_at < LEFT_S:
+        """Record that a request was withdrawn from a target, which may still run it."""
+        if len(self._withdrawn_by_life) < MAX_WITHDRAWN_TARGETS:
+            self._withdrawn_by_life.setdefault(life, []).append((request, now))
+
+    def pop_recent(self, life: Life, now: float) -> Iterator[bytes]:
+        """Remove and yield the requests that a crashed target may still have been running."""
+        for request, withdrawn_at in self._withdrawn_by_life.pop(life, ()):
+            if now - withdrawn_at < WITHDRAWN_RETENTION_S:
                 yield request
 
-    def forget_old(self, now: float) -> None:
-        """Drop what was taken back too long ago."""
-        self._left_by_life = {
-            life: left for life, left in self._left_by_life.items() if now - left[-1][1] < LEFT_S
+    def evict_expired(self, now: float) -> None:
+        """Evict targets whose last withdrawal is past the retention time."""
+        self._withdrawn_by_life = {
+            life: rows
+            for life, rows in self._withdrawn_by_life.items()
+            if now - rows[-1][1] < WITHDRAWN_RETENTION_S
         }
--- a/trackwheel/quarantine/models.py
+++ b/trackwheel/quarantine/models.py
@@ -1,4 +1,4 @@
-"""What boxes tell each other of requests under which targets ended, and what is decided."""
+"""Messages, commands and interfaces of the quarantine."""
 
 from typing import NamedTuple, Protocol
 
@@ -8,34 +8,34 @@
 from trackwheel.relay.models import Life
 
 
-class EndsUnder(NamedTuple):
-    """Name the targets that ended under a request at the sender."""
+class RequestCrashes(NamedTuple):
+    """Targets that crashed under one request at the sender."""
 
     fingerprint: bytes
     lives: list[Life]
 
 
 class CrashReport(NamedTuple):
-    """Tell under which requests targets ended, none of which was answered at the sender."""
+    """Report crashes of targets under requests that nothing has answered at the sender."""
 
-    rows: list[EndsUnder]
+    rows: list[RequestCrashes]
 
 
 class RequestsAnswered(NamedTuple):
-    """Tell that targets have answered requests, which therefore end none."""
+    """Announce requests that targets have answered, and that therefore crash none."""
 
     fingerprints: list[bytes]
 
 
 class HeldRequest(NamedTuple):
-    """Say how much longer a request is held (milliseconds)."""
+    """A held request and the time until its release (milliseconds)."""
 
     fingerprint: bytes
     left_ms: float
 
 
 class RequestsHeld(NamedTuple):
-    """Tell which requests are held."""
+    """Announce the held requests."""
 
     rows: list[HeldRequest]
 
@@ -46,54 +46,54 @@
 
 
 class EventWriter(Protocol):
-    """Write what is decided for operators."""
+    """Log of decisions for operators."""
 
     def write(self, kind: str, **fields: str | int | float | bool | None) -> None:
         """Write one event."""
 
 
 class HeldStore(Protocol):
-    """Keep held requests where they outlast all boxes."""
+    """Persistent store of held requests, which survives a restart of all boxes."""
 
     @property
     def era(self) -> int:
-        """Return a number that rises each time that what was written lately may be lost."""
+        """Return a counter that increases whenever recent writes may have been lost."""
 
     async def read(self) -> Result[list[HeldRequest], TrackwheelError]:
-        """Return the requests that are held, as they stood some seconds ago."""
+        """Return the stored requests; the result may be some seconds old."""
 
     async def put(self, held: HeldRequest) -> Result[None, TrackwheelError]:
-        """Write that a request is held, unless another box has; it is forgotten in time."""
+        """Store a held request unless another box has; the entry expires with the hold."""
 
     async def delete(self, fingerprint: bytes) -> Result[None, TrackwheelError]:
-        """Remove what is written of a request."""
+        """Delete the entry of a request."""
 
 
-class TellAll(NamedTuple):
-    """Command: tell every box."""
+class Broadcast(NamedTuple):
+    """Command: send a message to every box."""
 
     message: Message
 
 
-class Held(NamedTuple):
-    """Command: write down that a request is held, after how many ends, for how long (seconds)."""
+class HoldStarted(NamedTuple):
+    """Command: log that a request is held, its crash count and the duration (seconds)."""
 
     fingerprint: bytes
-    ends: int
-    for_s: float
+    crash_count: int
+    duration_s: float
 
 
-class OnTrial(NamedTuple):
-    """Command: write down that a request goes to one target first, after so many ends."""
+class TrialStarted(NamedTuple):
+    """Command: log that a request goes to a single target first, and its crash count."""
 
     fingerprint: bytes
-    ends: int
+    crash_count: int
 
 
-class Cleared(NamedTuple):
-    """Command: write down that a request that was held goes to targets again."""
+class HoldCleared(NamedTuple):
+    """Command: log that an answer has cleared a held request."""
 
     fingerprint: bytes
 
 
-Command = TellAll | Held | OnTrial | Cleared
+Command = Broadcast | HoldStarted | TrialStarted | HoldCleared
--- a/trackwheel/quarantine/service.py
+++ b/trackwheel/quarantine/service.py
@@ -1,4 +1,4 @@
-"""The shell of the quarantine: what ends at this box goes in, what is decided goes to all boxes."""
+"""Quarantine service: feeds the crash tracker, runs its commands and syncs the store."""
 
 from collections.abc import Awaitable, Iterable
 
@@ -9,161 +9,163 @@
 from trackwheel.errors import TrackwheelError
 from trackwheel.peers.hub import Hub
 from trackwheel.peers.models import PeerIdentity
-from trackwheel.quarantine.const import NEVER, TELL_AGAIN_S
+from trackwheel.quarantine.const import NEVER, REBROADCAST_INTERVAL_S
 from trackwheel.quarantine.models import (
-    Cleared,
+    Broadcast,
     CrashReport,
     EventWriter,
-    Held,
     HeldRequest,
     HeldStore,
+    HoldCleared,
+    HoldStarted,
     Message,
-    OnTrial,
     RequestsAnswered,
     RequestsHeld,
-    TellAll,
+    TrialStarted,
 )
-from trackwheel.quarantine.suspects import Suspects
+from trackwheel.quarantine.suspects import CrashTracker
 from trackwheel.relay.models import Life, Passage
 from trackwheel.relay.timer import Timer
 
 
 class RequestGate:
-    """Know whether one request may go to targets.
+    """Send gate of one request.
 
-    With `for_peer`, the box that hands it over has seen to it that one target was tried first; the
-    news that this one has answered may come after the request.
+    With `for_peer`, the box that forwards the request has already tried a single target; the
+    message that this target has answered may arrive after the request.
     """
 
-    def __init__(self, suspects: Suspects, request: bytes, for_peer: bool) -> None:
-        self._suspects = suspects
+    def __init__(self, tracker: CrashTracker, request: bytes, for_peer: bool) -> None:
+        self._tracker = tracker
         self._request = request
         self._for_peer = for_peer
 
     def passage(self, now: float) -> Passage:
-        """Return whether it may be sent at a time (monotonic seconds)."""
-        passage = self._suspects.passage(self._request, now)
+        """Return whether the request may be sent at a given time (monotonic seconds)."""
+        passage = self._tracker.passage(self._request, now)
         if self._for_peer and passage is Passage.ONE:
             return Passage.OPEN
         return passage
 
 
 class Quarantine:
-    """Keep requests that end targets from them, together with the other boxes."""
+    """Hold requests that crash targets, in agreement with the other boxes."""
 
     def __init__(self, hub: Hub, store: HeldStore, log: EventWriter) -> None:
         self._hub = hub
         self._store = store
         self._log = log
-        self._suspects = Suspects()
-        self._timer = Timer(self._act)
+        self._tracker = CrashTracker()
+        self._timer = Timer(self._run_due)
         self._near: tuple[str, ...] = ()
         self._far: tuple[str, ...] = ()
-        self._tells_again = False
-        self._has_read = False
+        self._rebroadcasts = False
+        self._has_loaded = False
         self._stored: set[bytes] = set()
         self._stored_in_era = 0
         self.store_calls = 0
-        hub.register(CrashReport, self._take_report)
-        hub.register(RequestsAnswered, self._take_answered)
-        hub.register(RequestsHeld, self._take_held)
+        hub.register(CrashReport, self._handle_crash_report)
+        hub.register(RequestsAnswered, self._handle_requests_answered)
+        hub.register(RequestsHeld, self._handle_requests_held)
 
     @property
     def held_count(self) -> int:
         """Return how many requests are held."""
-        return self._suspects.held
+        return self._tracker.held_count
 
     def set_boxes(self, near: Iterable[str], far: Iterable[str], rebroadcasts: bool) -> None:
-        """Take the boxes of the own failure domain, those of others that pass news on to theirs.
+        """Set the boxes that receive broadcasts.
 
-        `rebroadcasts` says that this box is one of the few that make up for lost news.
+        `near` are the other boxes of this failure domain. `far` are boxes of other domains, which
+        forward messages to their own domain. With `rebroadcasts`, this box is one of the few that
+        repeat the held requests, in case messages were lost, and write them to the store.
         """
         self._near, self._far = tuple(near), tuple(far)
-        self._tells_again = rebroadcasts
+        self._rebroadcasts = rebroadcasts
 
     def gate(self, request: bytes, for_peer: bool = False) -> RequestGate:
-        """Return what knows whether a request, or a peer's, may go to targets."""
-        return RequestGate(self._suspects, request, for_peer)
+        """Return the send gate of a request; `for_peer` marks one forwarded by another box."""
+        return RequestGate(self._tracker, request, for_peer)
 
     def is_held(self, request: bytes) -> bool:
-        """Return whether a request may go to no target for the time being."""
-        return self._suspects.passage(request, steady_now()) is Passage.SHUT
+        """Return whether a request may currently go to no target."""
+        return self._tracker.passage(request, steady_now()) is Passage.SHUT
 
     def start_trial(self, request: bytes) -> bool:
-        """Return whether a request goes to one target now, and to others only if that answers."""
+        """Start a trial at a single target if the request needs one; return whether it does."""
         now = steady_now()
-        if self._suspects.passage(request, now) is not Passage.ONE:
+        if self._tracker.passage(request, now) is not Passage.ONE:
             return False
-        self._suspects.begin_trial(request, now)
+        self._tracker.start_trial(request, now)
         return True
 
     def retry_after_s(self, request: bytes) -> float:
-        """Return in how many seconds a request may be tried again, 0 for now."""
-        return self._suspects.waits_s(request, steady_now())
+        """Return the seconds until a request may be sent again, 0 if it may be sent now."""
+        return self._tracker.retry_after_s(request, steady_now())
 
     def connection_closed(self, request: bytes, life: Life) -> None:
-        """Take that a target ended the connection under a request, without an answer."""
-        self._suspects.closed(request, life, steady_now())
-        self._wake()
+        """Record that a target closed the connection of a request without an answer."""
+        self._tracker.connection_closed(request, life, steady_now())
+        self._schedule()
 
     def request_answered(self, request: bytes) -> None:
-        """Take that a target answered a request with success."""
-        self._suspects.answered(request, steady_now())
-        self._wake()
+        """Record that a target answered a request successfully."""
+        self._tracker.request_answered(request, steady_now())
+        self._schedule()
 
     def connection_refused(self, life: Life) -> None:
-        """Take that a target takes no connections."""
-        self._suspects.refused(life, steady_now())
-        self._wake()
+        """Record that a target refused a connection."""
+        self._tracker.connection_refused(life, steady_now())
+        self._schedule()
 
     def request_withdrawn(self, request: bytes, life: Life) -> None:
-        """Take that a request was taken back from a target that has not answered it."""
-        self._suspects.taken_back(request, life, steady_now())
+        """Record that a request was withdrawn from a target that has not answered it."""
+        self._tracker.request_withdrawn(request, life, steady_now())
 
     def send_held_requests(self, address: str) -> None:
-        """Tell one box which requests are held."""
-        self._hub.send(address, self._suspects.held_requests(steady_now()))
+        """Send the held requests to one box."""
+        self._hub.send(address, self._tracker.held_requests(steady_now()))
 
     async def run(self) -> None:
-        """Make up for lost news, keep the store in step, forget what is over, until cancelled."""
+        """Rebroadcast held requests, sync the store and evict expired state, until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._tell_again)
-            tasks.start_soon(self._follow_store)
+            tasks.start_soon(self._rebroadcast_held)
+            tasks.start_soon(self._sync_store)
 
-    async def _tell_again(self) -> None:
+    async def _rebroadcast_held(self) -> None:
         while True:
-            await anyio.sleep(TELL_AGAIN_S)
+            await anyio.sleep(REBROADCAST_INTERVAL_S)
             now = steady_now()
-            self._suspects.forget_old(now)
-            self._act()
-            if self._tells_again and self.held_count:
-                self._tell_all(self._suspects.held_requests(now))
-
-    async def _follow_store(self) -> None:
-        """Read once what is held, then write what changes, where this box does that for others."""
-        await self._read_store()
+            self._tracker.evict_expired(now)
+            self._run_due()
+            if self._rebroadcasts and self.held_count:
+                self._broadcast(self._tracker.held_requests(now))
+
+    async def _sync_store(self) -> None:
+        """Load the held requests once; then write changes if this box is one that rebroadcasts."""
+        await self._load_store()
         while True:
-            await anyio.sleep(TELL_AGAIN_S)
-            if not self._tells_again:
+            await anyio.sleep(REBROADCAST_INTERVAL_S)
+            if not self._rebroadcasts:
                 continue
-            if not self._has_read:
-                await self._read_store()
-            if self._has_read and self._store.era > self._stored_in_era:
-                await self._catch_up()
+            if not self._has_loaded:
+                await self._load_store()
+            if self._has_loaded and self._store.era > self._stored_in_era:
+                await self._resync_restored_store()
             await self._write_store()
 
-    async def _read_store(self) -> None:
-        rows = await self._stored_rows()
+    async def _load_store(self) -> None:
+        rows = await self._read_rows()
         if rows is None:
             return
-        self._has_read = True
+        self._has_loaded = True
         self._stored_in_era = self._store.era
         self._stored = {row.fingerprint for row in rows}
-        self._suspects.take_held(RequestsHeld(rows), steady_now())
-        self._wake()
+        self._tracker.handle_requests_held(RequestsHeld(rows), steady_now())
+        self._schedule()
 
-    async def _stored_rows(self) -> list[HeldRequest] | None:
-        """Return what the store lists, None where it cannot be read."""
+    async def _read_rows(self) -> list[HeldRequest] | None:
+        """Return the stored requests, or None if the store cannot be read."""
         self.store_calls += 1
         match await self._store.read():
             case Success(rows):
@@ -172,35 +174,36 @@
                 self._log.write("held_unread", reason=str(error))
         return None
 
-    async def _catch_up(self) -> None:
-        """Take that the store came back from a copy: what is held is written anew.
+    async def _resync_restored_store(self) -> None:
+        """Bring a store that was restored from a copy up to date.
 
-        What that copy lists and nobody holds any more is removed again.
+        Held requests are written again; entries that are no longer held are deleted.
         """
         era = self._store.era
-        rows = await self._stored_rows()
+        rows = await self._read_rows()
         if rows is None:
             return
-        held = self._suspects.held_requests(steady_now()).rows
+        held = self._tracker.held_requests(steady_now()).rows
         listed = {row.fingerprint for row in rows}
         self._stored = listed - {row.fingerprint for row in held}
         self._stored_in_era = era
 
     async def _write_store(self) -> None:
-        """Write which requests are held and not in the store yet; remove those that were cleared.
+        """Store held requests that are not stored yet, and delete those that were cleared.
 
-        What another box has written costs one call too many; what is over goes by itself.
+        An entry that another box has written costs one redundant call. Expired entries need none:
+        the store drops them.
         """
-        rows = self._suspects.held_requests(steady_now()).rows
+        rows = self._tracker.held_requests(steady_now()).rows
         for row in rows:
-            if row.fingerprint not in self._stored and await self._done(self._store.put(row)):
+            if row.fingerprint not in self._stored and await self._succeeded(self._store.put(row)):
                 self._stored.add(row.fingerprint)
         for request in self._stored - {row.fingerprint for row in rows}:
-            if await self._done(self._store.delete(request)):
+            if await self._succeeded(self._store.delete(request)):
                 self._stored.discard(request)
 
-    async def _done(self, call: Awaitable[Result[None, TrackwheelError]]) -> bool:
-        """Make a call that changes the store; return whether it has worked."""
+    async def _succeeded(self, call: Awaitable[Result[None, TrackwheelError]]) -> bool:
+        """Await a write to the store; log a failure and return whether it succeeded."""
         self.store_calls += 1
         match await call:
             case Failure(error):
@@ -208,54 +211,54 @@
                 return False
         return True
 
-    def _wake(self) -> None:
-        """Act when something is due; mostly nothing is."""
-        wake_at = self._suspects.next_wake()
-        if wake_at == 0.0:
-            # News of an answer go out before what the answer lets go out.
-            self._act()
-        elif wake_at < NEVER:
-            self._timer.set(wake_at)
-
-    def _act(self) -> None:
-        for command in self._suspects.tick(steady_now()):
+    def _schedule(self) -> None:
+        """Run pending commands now, or set the timer for the next due time."""
+        due_at = self._tracker.next_due_at()
+        if due_at == 0.0:
+            # Announce an answer before sending the requests that it releases.
+            self._run_due()
+        elif due_at < NEVER:
+            self._timer.set(due_at)
+
+    def _run_due(self) -> None:
+        for command in self._tracker.tick(steady_now()):
             match command:
-                case TellAll(message):
-                    self._tell_all(message)
-                case Held(request, ends, for_s):
+                case Broadcast(message):
+                    self._broadcast(message)
+                case HoldStarted(request, crash_count, duration_s):
                     self._log.write(
                         "request_held",
                         fingerprint=request.hex(),
-                        ends=ends,
-                        for_s=round(for_s, 1),
+                        ends=crash_count,
+                        for_s=round(duration_s, 1),
                     )
-                case OnTrial(request, ends):
-                    self._log.write("request_on_trial", fingerprint=request.hex(), ends=ends)
-                case Cleared(request):
+                case TrialStarted(request, crash_count):
+                    self._log.write("request_on_trial", fingerprint=request.hex(), ends=crash_count)
+                case HoldCleared(request):
                     self._log.write("request_cleared", fingerprint=request.hex())
-        self._wake()
+        self._schedule()
 
-    def _tell_all(self, message: Message) -> None:
+    def _broadcast(self, message: Message) -> None:
         for address in self._near + self._far:
             self._hub.send(address, message)
 
-    def _pass_on(self, sender: PeerIdentity, message: Message) -> None:
-        """Pass news from another failure domain on to the boxes of the own one."""
+    def _forward_to_domain(self, sender: PeerIdentity, message: Message) -> None:
+        """Forward a message from another failure domain to the boxes of this one."""
         if sender.failure_domain != self._hub.identity.failure_domain:
             for address in self._near:
                 self._hub.send(address, message)
 
-    def _take_report(self, sender: PeerIdentity, report: CrashReport) -> None:
-        self._suspects.take_report(report, steady_now())
-        self._pass_on(sender, report)
-        self._wake()
+    def _handle_crash_report(self, sender: PeerIdentity, report: CrashReport) -> None:
+        self._tracker.handle_crash_report(report, steady_now())
+        self._forward_to_domain(sender, report)
+        self._schedule()
 
-    def _take_answered(self, sender: PeerIdentity, news: RequestsAnswered) -> None:
-        self._suspects.take_answered(news, steady_now())
-        self._pass_on(sender, news)
-        self._wake()
+    def _handle_requests_answered(self, sender: PeerIdentity, message: RequestsAnswered) -> None:
+        self._tracker.handle_requests_answered(message, steady_now())
+        self._forward_to_domain(sender, message)
+        self._schedule()
 
-    def _take_held(self, sender: PeerIdentity, news: RequestsHeld) -> None:
-        self._suspects.take_held(news, steady_now())
-        self._pass_on(sender, news)
-        self._wake()
+    def _handle_requests_held(self, sender: PeerIdentity, message: RequestsHeld) -> None:
+        self._tracker.handle_requests_held(message, steady_now())
+        self._forward_to_domain(sender, message)
+        self._schedule()
--- a/trackwheel/quarantine/suspects.py
+++ b/trackwheel/quarantine/suspects.py
@@ -1,65 +1,66 @@
-"""Which requests end the targets that run them, decided without I/O.
-
-Every box notes under which requests targets ended, and tells the others. A request is held once
-three targets ended under it and no target, at any box, has answered it. Held requests go to no
-target: a request that ended forty targets within 150 ms came again every few seconds, at any box,
-with another id, and took each service that came back down again.
-
-Others are at the same targets when those end. Whichever request has the most ends explains them,
-so that they no longer count against the others. Those with three ends themselves may have been to
-blame too, as may requests that were held for long: they may go to one target, and if that answers
-to all, and if it ends they are held.
+"""Decides, without I/O, which requests crash the targets that run them.
+
+Every box records the targets that crash under each request and reports them to the others. A
+request is held once three targets have crashed under it and no target, at any box, has answered
+it. Held requests go to no target: in an incident a request that crashed forty targets within
+150 ms returned every few seconds, at any box and with another id, and brought down each service
+again as soon as it had recovered.
+
+Other requests run at the same targets when these crash. The crashes are attributed to the request
+with the most of them and no longer count against the others. A bystander that had three crashes
+itself may be at fault too, as may a request whose hold has expired: it is put on trial at a single
+target. If that target answers, the request may go to all; if it crashes, the request is held.
 """
 
 from collections.abc import Iterable, Set
 
 from trackwheel.quarantine.const import (
-    ENDS_TO_HOLD,
-    EVIDENCE_MEMORY_S,
-    HOLD_S,
-    LONGEST_SETTLE_S,
-    MOST_HELD,
-    MOST_LIVES_TOLD,
-    MOST_ROWS_TOLD,
-    MOST_SUSPECTS,
+    DECISION_DELAY_S,
+    EVIDENCE_RETENTION_S,
+    HOLD_DURATION_S,
+    MAX_DECISION_DELAY_S,
+    MAX_HELD_REQUESTS,
+    MAX_LIVES_PER_ROW,
+    MAX_ROWS_PER_REPORT,
+    MAX_SUSPECTS,
+    MIN_CRASHES_TO_HOLD,
     NEVER,
-    SETTLE_S,
 )
 from trackwheel.quarantine.evidence import Evidence, Trial
-from trackwheel.quarantine.memory import AnsweredRequests, TakenBackRequests
+from trackwheel.quarantine.memory import AnsweredRequests, WithdrawnRequests
 from trackwheel.quarantine.models import (
-    Cleared,
+    Broadcast,
     Command,
     CrashReport,
-    EndsUnder,
-    Held,
     HeldRequest,
-    OnTrial,
+    HoldCleared,
+    HoldStarted,
+    RequestCrashes,
     RequestsAnswered,
     RequestsHeld,
-    TellAll,
+    TrialStarted,
 )
 from trackwheel.relay.models import Life, Passage
 from trackwheel.units import MILLISECONDS
 
 
-class Suspects:
-    """Decide, from how requests end here and at other boxes, which ones are held."""
+class CrashTracker:
+    """Decide which requests are held, from results at this box and reports of others."""
 
     def __init__(self) -> None:
         self._evidence_by_request: dict[bytes, Evidence] = {}
         self._held_until_by_request: dict[bytes, float] = {}
         self._answered = AnsweredRequests()
-        self._taken_back = TakenBackRequests()
+        self._withdrawn = WithdrawnRequests()
         self._trial_by_request: dict[bytes, Trial] = {}
         self._cause_by_life: dict[Life, bytes] = {}
-        """Which request ended a target, or one of those that may have."""
+        """The request to which a crash is attributed, or one of several that may have caused it."""
         self._commands: list[Command] = []
         self._due_at = NEVER
 
     @property
-    def held(self) -> int:
-        """Return how many requests are held."""
+    def held_count(self) -> int:
+        """Return the number of held requests."""
         return len(self._held_until_by_request)
 
     def passage(self, request: bytes, now: float) -> Passage:
@@ -71,74 +72,74 @@
             return Passage.WAIT
         if not self._is_on_trial(request, now):
             return Passage.OPEN
-        at_target = self._trial_by_request[request].is_at_target(now)
-        return Passage.WAIT if at_target else Passage.ONE
+        in_progress = self._trial_by_request[request].is_in_progress(now)
+        return Passage.WAIT if in_progress else Passage.ONE
 
-    def begin_trial(self, request: bytes, now: float) -> None:
-        """Take that a request goes to one target now: others of its content wait for its end."""
-        self._trial_by_request[request].began_at = now
+    def start_trial(self, request: bytes, now: float) -> None:
+        """Record that a request goes to its single target; others of the same content wait."""
+        self._trial_by_request[request].started_at = now
 
-    def waits_s(self, request: bytes, now: float) -> float:
-        """Return in how many seconds a request may be tried again, 0 for now."""
+    def retry_after_s(self, request: bytes, now: float) -> float:
+        """Return the seconds until a request may be sent again, 0 if it may be sent now."""
         match self.passage(request, now):
             case Passage.SHUT:
                 return self._held_until_by_request[request] - now
             case Passage.WAIT:
-                return SETTLE_S
+                return DECISION_DELAY_S
             case Passage.OPEN | Passage.ONE:
                 return 0.0
 
-    def closed(self, request: bytes, life: Life, now: float) -> None:
-        """Take that a target ended the connection under a request, without an answer."""
-        self._note_own(request, life, now)
-        self.refused(life, now)
+    def connection_closed(self, request: bytes, life: Life, now: float) -> None:
+        """Record that a target closed the connection of a request without an answer."""
+        self._record_own_crash(request, life, now)
+        self.connection_refused(life, now)
 
-    def refused(self, life: Life, now: float) -> None:
-        """Take that a target has ended: requests taken back a moment ago may have ended it."""
-        for request in self._taken_back.take(life, now):
-            self._note_own(request, life, now)
+    def connection_refused(self, life: Life, now: float) -> None:
+        """Record that a target is down; requests withdrawn recently may have crashed it."""
+        for request in self._withdrawn.pop_recent(life, now):
+            self._record_own_crash(request, life, now)
 
-    def taken_back(self, request: bytes, life: Life, now: float) -> None:
-        """Take that a request was taken back from a target, which may run it all the same."""
-        self._taken_back.add(request, life, now)
+    def request_withdrawn(self, request: bytes, life: Life, now: float) -> None:
+        """Record that a request was withdrawn from a target, which may still run it."""
+        self._withdrawn.add(request, life, now)
 
-    def answered(self, request: bytes, now: float) -> None:
-        """Take that a target answered a request: it lives on, so that the request ends none."""
+    def request_answered(self, request: bytes, now: float) -> None:
+        """Record that a target answered a request, which therefore crashes none."""
         self._answered.add(request, now)
         evidence = self._evidence_by_request.get(request)
         known = request in self._held_until_by_request or request in self._trial_by_request
-        if known or (evidence is not None and evidence.is_told):
-            self._commands.append(TellAll(RequestsAnswered([request])))
+        if known or (evidence is not None and evidence.is_known_to_peers):
+            self._commands.append(Broadcast(RequestsAnswered([request])))
         self._clear(request)
 
-    def take_report(self, report: CrashReport, now: float) -> None:
-        """Take under which requests targets ended at another box."""
-        told = [row.fingerprint for row in report.rows]
-        answered = [request for request in told if self._answered.lately(request, now)]
+    def handle_crash_report(self, report: CrashReport, now: float) -> None:
+        """Record the crashes that another box reports."""
+        reported = [row.fingerprint for row in report.rows]
+        answered = [request for request in reported if self._answered.is_recent(request, now)]
         if answered:
-            self._commands.append(TellAll(RequestsAnswered(answered)))
+            self._commands.append(Broadcast(RequestsAnswered(answered)))
         for request, lives in report.rows:
-            evidence = self._add(request, lives, now)
+            evidence = self._record_crashes(request, lives, now)
             if evidence is not None:
-                evidence.is_told = True
+                evidence.is_known_to_peers = True
 
-    def take_answered(self, news: RequestsAnswered, now: float) -> None:
-        """Take which requests targets have answered at another box."""
-        for request in news.fingerprints:
+    def handle_requests_answered(self, message: RequestsAnswered, now: float) -> None:
+        """Clear the requests that were answered at another box."""
+        for request in message.fingerprints:
             self._answered.add(request, now)
             self._clear(request)
 
-    def take_held(self, news: RequestsHeld, now: float) -> None:
-        """Take which requests another box holds."""
-        for request, left_ms in news.rows:
-            until = now + min(HOLD_S, max(0.0, left_ms / MILLISECONDS))
-            if self._answered.lately(request, now):
+    def handle_requests_held(self, message: RequestsHeld, now: float) -> None:
+        """Hold the requests that another box holds."""
+        for request, left_ms in message.rows:
+            until = now + min(HOLD_DURATION_S, max(0.0, left_ms / MILLISECONDS))
+            if self._answered.is_recent(request, now):
                 continue
             if self._held_until_by_request.get(request, 0.0) <= now < until:
                 self._hold(request, until, now)
 
     def held_requests(self, now: float) -> RequestsHeld:
-        """Return what to tell others of the requests that are held."""
+        """Return the message that lists the held requests."""
         rows = [
             HeldRequest(request, (until - now) * MILLISECONDS)
             for request, until in self._held_until_by_request.items()
@@ -147,125 +148,131 @@
         return RequestsHeld(rows)
 
     def tick(self, now: float) -> list[Command]:
-        """Report, judge, forget; return what to do."""
+        """Report crashes, decide on suspects, release expired holds; return the commands."""
         self._report(now)
-        self._judge(now)
-        self._forget(now)
+        self._decide(now)
+        self._release_expired(now)
         evidence = self._evidence_by_request.values()
         self._due_at = min((one.due_at for one in evidence), default=NEVER)
         commands, self._commands = self._commands, []
         return commands
 
-    def next_wake(self) -> float:
-        """Return when `tick` is next needed (monotonic seconds)."""
+    def next_due_at(self) -> float:
+        """Return when `tick` is next due (monotonic seconds); 0 if commands are pending."""
         return 0.0 if self._commands else self._due_at
 
-    def _note_own(self, request: bytes, life: Life, now: float) -> None:
-        """Count the end of a target at this box against a request, and report it soon."""
-        evidence = self._add(request, [life], now)
+    def _record_own_crash(self, request: bytes, life: Life, now: float) -> None:
+        """Count a crash seen by this box against a request, and schedule its report."""
+        evidence = self._record_crashes(request, [life], now)
         if evidence is None:
             return
         evidence.add_own(life, now)
         if self._is_on_trial(request, now):
-            # Another box would try it too until it hears of this end.
+            # Report at once: until then another box may try the request too.
             evidence.report_at = now
         self._due_at = min(self._due_at, evidence.due_at)
 
-    def _add(self, request: bytes, lives: Iterable[Life], now: float) -> Evidence | None:
-        """Count ends of targets against a request; return nothing where none of them counts."""
-        if self._answered.lately(request, now):
+    def _record_crashes(self, request: bytes, lives: Iterable[Life], now: float) -> Evidence | None:
+        """Count crashes against a request; return None if none of them counts."""
+        if self._answered.is_recent(request, now):
             return None
         if request in self._held_until_by_request:
             self._cause_by_life.update(dict.fromkeys(lives, request))
             return None
-        counting = [life for life in lives if life not in self._cause_by_life]
-        if not counting:
+        unattributed = [life for life in lives if life not in self._cause_by_life]
+        if not unattributed:
             return None
         evidence = self._evidence(request)
-        evidence.add(counting, 1 if self._is_on_trial(request, now) else ENDS_TO_HOLD, now)
+        evidence.add(
+            unattributed, 1 if self._is_on_trial(request, now) else MIN_CRASHES_TO_HOLD, now
+        )
         self._due_at = min(self._due_at, evidence.due_at)
         return evidence
 
     def _is_on_trial(self, request: bytes, now: float) -> bool:
         trial = self._trial_by_request.get(request)
-        return trial is not None and trial.is_on(now)
+        return trial is not None and trial.is_active(now)
 
     def _evidence(self, request: bytes) -> Evidence:
         evidence = self._evidence_by_request.get(request)
         if evidence is None:
             evidence = self._evidence_by_request[request] = Evidence()
-            if len(self._evidence_by_request) > MOST_SUSPECTS:
+            if len(self._evidence_by_request) > MAX_SUSPECTS:
                 del self._evidence_by_request[next(iter(self._evidence_by_request))]
         return evidence
 
     def _clear(self, request: bytes) -> None:
-        """Drop what is held against a request."""
+        """Drop the evidence, trial and hold of a request."""
         self._evidence_by_request.pop(request, None)
         self._trial_by_request.pop(request, None)
         if self._held_until_by_request.pop(request, None) is None:
             return
         self._drop_causes({request})
-        self._commands.append(Cleared(request))
+        self._commands.append(HoldCleared(request))
 
     def _report(self, now: float) -> None:
-        """Tell the other boxes what ended here under requests that nobody answered."""
+        """Report the crashes seen by this box under requests that nothing has answered."""
         due = [
             (request, evidence)
             for request, evidence in self._evidence_by_request.items()
             if evidence.report_at <= now
         ]
-        due.sort(key=lambda one: len(one[1].own), reverse=True)
+        due.sort(key=lambda one: len(one[1].own_lives), reverse=True)
         rows = []
-        for request, evidence in due[:MOST_ROWS_TOLD]:
-            evidence.told()
-            rows.append(EndsUnder(request, sorted(evidence.own)[:MOST_LIVES_TOLD]))
+        for request, evidence in due[:MAX_ROWS_PER_REPORT]:
+            evidence.mark_reported()
+            rows.append(RequestCrashes(request, sorted(evidence.own_lives)[:MAX_LIVES_PER_ROW]))
         if rows:
-            self._commands.append(TellAll(CrashReport(rows)))
+            self._commands.append(Broadcast(CrashReport(rows)))
 
-    def _judge(self, now: float) -> None:
-        """Hold the request with the most ends, and go on with what it does not explain."""
+    def _decide(self, now: float) -> None:
+        """Hold the suspect with the most crashes, then decide on what remains."""
         while suspects := {
             request: evidence
             for request, evidence in self._evidence_by_request.items()
             if evidence.suspect_since < NEVER
         }:
             worst = max(suspects.values(), key=lambda evidence: len(evidence.lives))
-            longest_s = now - min(evidence.suspect_since for evidence in suspects.values())
-            if now - worst.suspect_since < SETTLE_S and longest_s < LONGEST_SETTLE_S:
+            longest_wait_s = now - min(evidence.suspect_since for evidence in suspects.values())
+            if (
+                now - worst.suspect_since < DECISION_DELAY_S
+                and longest_wait_s < MAX_DECISION_DELAY_S
+            ):
                 return
             lives = frozenset(worst.lives)
             tied = [request for request in suspects if suspects[request].lives == lives]
-            # Those with the very same ends are told apart by one target each.
-            blamed = [one for one in tied if len(tied) == 1 or self._is_on_trial(one, now)]
-            for request in blamed:
-                self._hold(request, now + HOLD_S, now)
-            if not blamed:
-                self._explain(lives, tied[0], now)
+            # Requests with identical crashes are told apart by a trial at one target each.
+            confirmed = [one for one in tied if len(tied) == 1 or self._is_on_trial(one, now)]
+            for request in confirmed:
+                self._hold(request, now + HOLD_DURATION_S, now)
+            if not confirmed:
+                self._attribute(lives, tied[0], now)
 
     def _hold(self, request: bytes, until: float, now: float) -> None:
-        """Keep a request from targets, and count its ends against no other one."""
+        """Hold a request and attribute its crashes to it alone."""
         evidence = self._evidence_by_request.pop(request, Evidence())
         self._trial_by_request.pop(request, None)
         self._held_until_by_request.pop(request, None)
         self._held_until_by_request[request] = until
-        if len(self._held_until_by_request) > MOST_HELD:
+        if len(self._held_until_by_request) > MAX_HELD_REQUESTS:
             self._release({next(iter(self._held_until_by_request))})
-        self._explain(evidence.lives, request, now)
-        self._commands.append(Held(request, len(evidence.lives), until - now))
-        if evidence.own:
-            # Only boxes that met it tell, so that a fleet does not tell itself a thousand times.
+        self._attribute(evidence.lives, request, now)
+        self._commands.append(HoldStarted(request, len(evidence.lives), until - now))
+        if evidence.own_lives:
+            # Only boxes that saw a crash themselves announce the hold, which bounds the messages:
+            # otherwise every box of the fleet would broadcast it.
             row = HeldRequest(request, (until - now) * MILLISECONDS)
-            self._commands.append(TellAll(RequestsHeld([row])))
+            self._commands.append(Broadcast(RequestsHeld([row])))
 
-    def _explain(self, lives: Set[Life], cause: bytes, now: float) -> None:
-        """Count ends of targets no more; requests that had many of them go to one target first."""
+    def _attribute(self, lives: Set[Life], cause: bytes, now: float) -> None:
+        """Attribute crashes to one request; others that had three or more go on trial."""
         self._cause_by_life.update(dict.fromkeys(lives, cause))
         for request, evidence in list(self._evidence_by_request.items()):
-            had = len(evidence.lives)
-            evidence.take_out(lives)
-            if had >= ENDS_TO_HOLD > len(evidence.lives):
-                self._trial_by_request[request] = Trial(now + EVIDENCE_MEMORY_S)
-                self._commands.append(OnTrial(request, had))
+            crash_count = len(evidence.lives)
+            evidence.remove_attributed(lives)
+            if crash_count >= MIN_CRASHES_TO_HOLD > len(evidence.lives):
+                self._trial_by_request[request] = Trial(now + EVIDENCE_RETENTION_S)
+                self._commands.append(TrialStarted(request, crash_count))
             if not evidence.lives:
                 del self._evidence_by_request[request]
 
@@ -279,24 +286,28 @@
             life: cause for life, cause in self._cause_by_life.items() if cause not in requests
         }
 
-    def _forget(self, now: float) -> None:
-        """Drop what no longer decides anything."""
-        over = {request for request, until in self._held_until_by_request.items() if until <= now}
-        if over:
-            self._release(over)
+    def _release_expired(self, now: float) -> None:
+        """Release expired holds, putting the requests on trial, and drop old evidence."""
+        expired = {
+            request for request, until in self._held_until_by_request.items() if until <= now
+        }
+        if expired:
+            self._release(expired)
             self._trial_by_request.update(
-                {request: Trial(now + EVIDENCE_MEMORY_S) for request in over}
+                {request: Trial(now + EVIDENCE_RETENTION_S) for request in expired}
             )
         for request, evidence in list(self._evidence_by_request.items()):
-            if now - evidence.last_at >= EVIDENCE_MEMORY_S:
+            if now - evidence.last_crash_at >= EVIDENCE_RETENTION_S:
                 del self._evidence_by_request[request]
 
-    def forget_old(self, now: float) -> None:
-        """Drop what is over of the memories that grow with the load."""
-        self._answered.forget_old(now)
-        self._taken_back.forget_old(now)
+    def evict_expired(self, now: float) -> None:
+        """Evict expired answers, withdrawals, trials and attributed crashes."""
+        self._answered.evict_expired(now)
+        self._withdrawn.evict_expired(now)
         self._trial_by_request = {
-            request: trial for request, trial in self._trial_by_request.items() if trial.is_on(now)
+            request: trial
+            for request, trial in self._trial_by_request.items()
+            if trial.is_active(now)
         }
         known = self._held_until_by_request.keys() | self._trial_by_request.keys()
         self._drop_causes(set(self._cause_by_life.values()) - known)
