--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -62,7 +62,7 @@
 NEWS = "tests/relay/test_news.py::"
 CRASHING = "tests/whole/test_crashing_request.py::"
 CRASHING_QUERY = "tests/relay/test_crashing_query.py::"
-SUSPECTS = "tests/quarantine/test_suspects.py::"
+CRASH_TRACKER = "tests/quarantine/test_crash_tracker.py::"
 HOLDING = "tests/quarantine/test_fleet.py::"
 CLOCK = "tests/test_clock.py::"
 READINGS = "tests/directory/test_readings.py::"
@@ -1363,7 +1363,7 @@
         "four others at every target that ended are served once targets are back",
         CRASHING + "test_bystanders_are_served_once_targets_are_back",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
+            "trackwheel/quarantine/crash_tracker.py",
             "if len(tied) == 1 or self._is_on_trial(one, now)",
             "if True",
         ),
@@ -1372,9 +1372,9 @@
         PLATFORM,
         HELD,
         "any order of ends, answers, news, of one request and of those beside it",
-        SUSPECTS + "test_held",
+        CRASH_TRACKER + "test_held",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
+            "trackwheel/quarantine/crash_tracker.py",
             "            evidence.remove_attributed(lives)\n",
             "",
         ),
@@ -1385,7 +1385,7 @@
         "fleets of 6, 60 and 195 boxes, a tenth of the messages lost",
         HOLDING + "test_every_box_holds_it_in_time",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
+            "trackwheel/quarantine/crash_tracker.py",
             "self._commands.append(Broadcast(CrashReport(rows)))",
             "pass",
         ),
@@ -1396,7 +1396,7 @@
         "an answer at one box, before and after its ends are told",
         HOLDING + "test_answer_at_one_box_clears_it_at_all",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
+            "trackwheel/quarantine/crash_tracker.py",
             "self._commands.append(Broadcast(RequestsAnswered(answered)))",
             "pass",
         ),
@@ -1497,7 +1497,7 @@
         PLATFORM,
         SET_BACK,
         "held requests that the copy lacks, or still has",
-        "tests/quarantine/test_store_goes_back.py::"
+        "tests/quarantine/test_store_restored.py::"
         "test_store_that_came_back_from_a_copy_holds_again_what_is_held",
         Mutant(
             "trackwheel/quarantine/service.py", "self._store.era > self._stored_in_era", "False"
--- a/tests/quarantine/test_suspects.py
+++ b/tests/quarantine/test_crash_tracker.py
@@ -22,6 +22,7 @@
     TRIAL_TIMEOUT_S,
     WITHDRAWN_RETENTION_S,
 )
+from trackwheel.quarantine.crash_tracker import CrashTracker
 from trackwheel.quarantine.models import (
     Broadcast,
     Command,
@@ -33,7 +34,6 @@
     RequestsAnswered,
     RequestsHeld,
 )
-from trackwheel.quarantine.suspects import CrashTracker
 from trackwheel.relay.models import Life, Passage
 
 CRASHING, OTHER = b"crashing", b"other"
--- a/tests/quarantine/test_fleet.py
+++ b/tests/quarantine/test_fleet.py
@@ -12,8 +12,8 @@
 import pytest
 
 from trackwheel.quarantine.const import REBROADCAST_INTERVAL_S
+from trackwheel.quarantine.crash_tracker import CrashTracker
 from trackwheel.quarantine.models import Broadcast, CrashReport, Message, RequestsAnswered
-from trackwheel.quarantine.suspects import CrashTracker
 from trackwheel.relay.models import Passage
 
 CRASHING = b"crashing"
--- a/trackwheel/quarantine/suspects.py
+++ b/trackwheel/quarantine/crash_tracker.py
@@ -27,7 +27,6 @@
     NEVER,
 )
 from trackwheel.quarantine.evidence import Evidence, Trial
-from trackwheel.quarantine.memory import AnsweredRequests, WithdrawnRequests
 from trackwheel.quarantine.models import (
     Broadcast,
     Command,
@@ -40,6 +39,7 @@
     RequestsHeld,
     TrialStarted,
 )
+from trackwheel.quarantine.recent_requests import AnsweredRequests, WithdrawnRequests
 from trackwheel.relay.models import Life, Passage
 from trackwheel.units import MILLISECONDS
 
--- a/trackwheel/quarantine/service.py
+++ b/trackwheel/quarantine/service.py
@@ -10,6 +10,7 @@
 from trackwheel.peers.hub import Hub
 from trackwheel.peers.models import PeerIdentity
 from trackwheel.quarantine.const import NEVER, REBROADCAST_INTERVAL_S
+from trackwheel.quarantine.crash_tracker import CrashTracker
 from trackwheel.quarantine.models import (
     Broadcast,
     CrashReport,
@@ -23,7 +24,6 @@
     RequestsHeld,
     TrialStarted,
 )
-from trackwheel.quarantine.suspects import CrashTracker
 from trackwheel.relay.models import Life, Passage
 from trackwheel.relay.timer import Timer
 
