--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -5,7 +5,7 @@
 import pytest
 
 from trackwheel.routing.models import Limits, Route, RouteTable, WeightedService
-from trackwheel.routing.table import WeightedDivider, find_route, index_routes
+from trackwheel.routing.table import WeightedRoundRobin, find_route, index_routes
 
 LIMITS = Limits(1000, 1000, 1.0, 1.0)
 
@@ -49,7 +49,7 @@
     ids=str,
 )
 def test_every_stretch_is_divided_by_weight(weights: dict[str, float]) -> None:
-    divider, divided = WeightedDivider(), route("r", "a.example", "/", weights)
+    divider, divided = WeightedRoundRobin(), route("r", "a.example", "/", weights)
     picks = [divider.pick(divided) for _ in range(1000)]
     for start in range(0, 900, 50):
         counts = Counter(picks[start : start + 100])
@@ -58,7 +58,7 @@
 
 
 def test_new_parts_start_anew() -> None:
-    divider = WeightedDivider()
+    divider = WeightedRoundRobin()
     for _ in range(5):
         divider.pick(route("r", "a.example", "/", {"a": 5, "b": 1}))
     picks = Counter(divider.pick(route("r", "a.example", "/", {"b": 1, "c": 1})) for _ in range(10))
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -30,7 +30,7 @@
 from trackwheel.relay.timer import Timer
 from trackwheel.relay.transport import TargetTransport
 from trackwheel.routing.models import Route, RouteTable
-from trackwheel.routing.table import WeightedDivider, find_route
+from trackwheel.routing.table import WeightedRoundRobin, find_route
 from trackwheel.telemetry.events import EventLog
 from trackwheel.telemetry.figures import Figures
 from trackwheel.units import MILLISECONDS
@@ -61,7 +61,7 @@
         self._log = log
         self._figures = figures
         self.ended_by_kind: Counter[tuple[str]] = Counter()
-        self._divider = WeightedDivider()
+        self._round_robin = WeightedRoundRobin()
         self._table: RouteTable | None = None
         self._early = EarlyRequests(self.handle, self._refuse_without_routes)
         self._planner = GroupPlanner(place, address, board, groups.peer_board)
@@ -136,7 +136,7 @@
         """Return the plan for one target, or for one at a time."""
         return SinglePlan(
             route=RouteKey(route.name, route.aim_s, route.homes),
-            service=route.shards[0] if route.shards else self._divider.pick(route),
+            service=route.shards[0] if route.shards else self._round_robin.pick(route),
             repeatable=route.repeatable,
             max_attempts=1 if one_target else route.max_attempts,
             answer_at=_answer_at(caller, route),
--- a/trackwheel/routing/table.py
+++ b/trackwheel/routing/table.py
@@ -24,7 +24,7 @@
     return None
 
 
-class WeightedDivider:
+class WeightedRoundRobin:
     """Divide requests among services so that each prefix of the sequence is near the weights.
 
     Smooth weighted round robin: exact over a period, without bursts to one service.
