--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -1,4 +1,4 @@
-"""The route of a request, and the division of requests by weight."""
+"""Route lookup, and weighted round robin between services."""
 
 from collections import Counter
 
@@ -11,8 +11,8 @@
 
 
 def route(name: str, host: str, prefix: str, weights: dict[str, float] | None = None) -> Route:
-    parts = tuple(WeightedService(*pair) for pair in (weights or {"one": 1.0}).items())
-    return Route(name, host, prefix, True, 1.0, 0.1, 2, 1, parts, (), 0, 0.0)
+    services = tuple(WeightedService(*pair) for pair in (weights or {"one": 1.0}).items())
+    return Route(name, host, prefix, True, 1.0, 0.1, 2, 1, services, (), 0, 0.0)
 
 
 TABLE = RouteTable(
@@ -48,18 +48,20 @@
     [{"a": 1, "b": 1}, {"a": 9, "b": 1}, {"a": 0.7, "b": 0.2, "c": 0.1}, {"a": 3, "b": 0}],
     ids=str,
 )
-def test_every_stretch_is_divided_by_weight(weights: dict[str, float]) -> None:
-    divider, divided = WeightedRoundRobin(), route("r", "a.example", "/", weights)
-    picks = [divider.pick(divided) for _ in range(1000)]
+def test_every_hundred_requests_follow_the_weights(weights: dict[str, float]) -> None:
+    round_robin, split = WeightedRoundRobin(), route("r", "a.example", "/", weights)
+    picks = [round_robin.pick(split) for _ in range(1000)]
     for start in range(0, 900, 50):
         counts = Counter(picks[start : start + 100])
         for service, weight in weights.items():
             assert counts[service] == pytest.approx(100 * weight / sum(weights.values()), abs=2)
 
 
-def test_new_parts_start_anew() -> None:
-    divider = WeightedRoundRobin()
+def test_changed_services_start_with_equal_credit() -> None:
+    round_robin = WeightedRoundRobin()
     for _ in range(5):
-        divider.pick(route("r", "a.example", "/", {"a": 5, "b": 1}))
-    picks = Counter(divider.pick(route("r", "a.example", "/", {"b": 1, "c": 1})) for _ in range(10))
+        round_robin.pick(route("r", "a.example", "/", {"a": 5, "b": 1}))
+    picks = Counter(
+        round_robin.pick(route("r", "a.example", "/", {"b": 1, "c": 1})) for _ in range(10)
+    )
     assert picks == {"b": 5, "c": 5}
--- a/trackwheel/routing/__init__.py
+++ b/trackwheel/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which service a request belongs to: the route table in force and the division by weight."""
+"""Routing of requests to services: the route table and the weighted split."""
--- a/trackwheel/routing/models.py
+++ b/trackwheel/routing/models.py
@@ -1,10 +1,10 @@
-"""Routes, services and limits of one version of the configuration."""
+"""Routes, services and limits of one configuration version."""
 
 from typing import NamedTuple
 
 
 class Limits(NamedTuple):
-    """Bound what a client may send, and how long it may take (bytes, seconds)."""
+    """Limits on the size of a client's request and the time to send it (bytes, seconds)."""
 
     header_bytes: int
     body_bytes: int
@@ -13,17 +13,17 @@
 
 
 class WeightedService(NamedTuple):
-    """Give one service of a division its weight."""
+    """A service and its weight in a split."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Say how requests below one path of one host are handled (seconds).
+    """Handling of the requests under one path prefix of one host (times in seconds).
 
-    Exactly one of `services` (one service, or a division by weight) and `shards` is filled.
-    `homes` are the regions that alone may serve its requests; none are named where all may.
+    Exactly one of `services` (a single service, or a weighted split) and `shards` is set.
+    `homes` are the only regions that may serve the requests; it is empty if all may.
     """
 
     name: str
@@ -42,10 +42,10 @@
 
 
 class ServiceRule(NamedTuple):
-    """Hold what the configuration says of one service.
+    """Configuration of one service.
 
-    Its targets are cold for `cold_s` after a start (seconds) and bear `cold_per_s` requests a
-    second meanwhile, from all boxes together; 0 when no bound is given.
+    Its targets are cold for `cold_s` seconds after a start. During this time a target can take
+    `cold_per_s` requests a second from all boxes together; 0 means that no limit is given.
     """
 
     name: str
@@ -56,7 +56,7 @@
 
 
 class RouteTable(NamedTuple):
-    """Hold one version of the configuration, whole; versions only rise."""
+    """One complete version of the configuration; versions only increase."""
 
     version: int
     routes_by_host: dict[str, tuple[Route, ...]]
