--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(("key", "field_value"), UNUSABLE, ids=lambda value: str(value)[:20])
-def test_field_of_another_type_or_name_names_no_target(key: str, field_value: Any) -> None:
+def test_field_of_wrong_type_or_value_is_rejected(key: str, field_value: Any) -> None:
     assert isinstance(decode_target("servers/i-7", written(**{key: field_value}), 12), Failure)
 
 
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_any_bytes_are_read_or_refused(seed: int) -> None:
+def test_any_bytes_are_decoded_or_rejected(seed: int) -> None:
     """Random edits of a valid entry are decoded or rejected; no exception may escape."""
     random_ = random.Random(seed)
     for _ in range(200):
@@ -133,7 +133,7 @@
     return {**key, "value": base64.b64encode(value).decode()}
 
 
-def test_others_hold_beside_a_foreign_entry_and_its_key_names_no_target() -> None:
+def test_invalid_entry_removes_its_key_and_keeps_the_others() -> None:
     """The key of an invalid entry counts as removed, and is logged once."""
     log = KeyLog()
     events = [item("a", written(), 5), item("b", b"junk", 6), item("b", b"more", 7)]
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -53,7 +53,7 @@
 ENTRY += b'"ready","warmup_left_ms":0,"sequence":4}'
 
 
-def test_revisions_that_are_given_again_are_later_ones() -> None:
+def test_reassigned_revisions_are_later() -> None:
     """The store is restored from a copy two changes old, then written past its old revision."""
 
     async def scenario() -> None:
@@ -87,7 +87,7 @@
     anyio.run(scenario)
 
 
-def test_pages_of_two_eras_are_no_reading() -> None:
+def test_pages_of_two_eras_are_rejected() -> None:
     async def scenario() -> None:
         store = MetadataStore()
         running = await store.start("127.0.0.1:0")
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -99,7 +99,7 @@
         (b"-1,0,8", None),
     ],
 )
-def test_told_load(value: bytes, load: Load | None) -> None:
+def test_load_header(value: bytes, load: Load | None) -> None:
     answer = Response(200, (ID, SIGNATURE, (b"x-server-load", value)), b"")
     assert WIRE.read_end(answer, False).load == load
 
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1245,7 +1245,7 @@
         PLATFORM,
         TOLD,
         "loads of three figures and more, and none that can be read",
-        WIRE + "test_told_load",
+        WIRE + "test_load_header",
         Mutant(
             "trackwheel/platform/load.py",
             "max(MIN_FIELDS, len(fields))",
@@ -1284,7 +1284,7 @@
         PLATFORM,
         FOREIGN,
         "fields of other types, unnamed states",
-        ENTRIES + "test_field_of_another_type_or_name_names_no_target",
+        ENTRIES + "test_field_of_wrong_type_or_value_is_rejected",
         Mutant(
             "trackwheel/platform/decode.py", 'state: Literal["ready", "draining"]', "state: str"
         ),
@@ -1293,7 +1293,7 @@
         PLATFORM,
         FOREIGN,
         "4,000 generated entries",
-        ENTRIES + "test_any_bytes_are_read_or_refused",
+        ENTRIES + "test_any_bytes_are_decoded_or_rejected",
         Mutant(
             "trackwheel/platform/decode.py",
             "    except (msgspec.DecodeError, ValueError, RecursionError) as error:\n"
@@ -1306,7 +1306,7 @@
         PLATFORM,
         FOREIGN,
         "beside sound entries, in a reading and in a watch",
-        ENTRIES + "test_others_hold_beside_a_foreign_entry_and_its_key_names_no_target",
+        ENTRIES + "test_invalid_entry_removes_its_key_and_keeps_the_others",
         Mutant(
             "trackwheel/platform/store.py",
             "TargetsRead(after, entries, gone + unusable,",
@@ -1385,7 +1385,7 @@
         PLATFORM,
         HELD,
         "fleets of 6, 60 and 195 boxes, a tenth of the messages lost",
-        HOLDING + "test_every_box_holds_it_in_time",
+        HOLDING + "test_every_box_holds_the_request_in_time",
         Mutant(
             "trackwheel/quarantine/crash_tracker.py",
             "self._commands.append(Broadcast(CrashReport(rows)))",
@@ -1396,7 +1396,7 @@
         PLATFORM,
         HELD,
         "an answer at one box, before and after its ends are told",
-        HOLDING + "test_answer_at_one_box_clears_it_at_all",
+        HOLDING + "test_answer_at_one_box_clears_the_request_at_all",
         Mutant(
             "trackwheel/quarantine/crash_tracker.py",
             "self._commands.append(Broadcast(RequestsAnswered(answered)))",
@@ -1477,14 +1477,14 @@
         PLATFORM,
         SET_BACK,
         "a watch from a revision that is given for the second time",
-        "tests/platform/test_store.py::test_revisions_that_are_given_again_are_later_ones",
+        "tests/platform/test_store.py::test_reassigned_revisions_are_later",
         Mutant("trackwheel/platform/store.py", "answer.era != era_of(after)", "False"),
     ),
     Row(
         PLATFORM,
         SET_BACK,
         "a reading whose pages are of before and after",
-        "tests/platform/test_store.py::test_pages_of_two_eras_are_no_reading",
+        "tests/platform/test_store.py::test_pages_of_two_eras_are_rejected",
         Mutant("trackwheel/platform/store.py", "era_of(page.as_of) != era_of(as_of)", "False"),
     ),
     Row(
@@ -1500,7 +1500,7 @@
         SET_BACK,
         "held requests that the copy lacks, or still has",
         "tests/quarantine/test_store_restored.py::"
-        "test_store_that_came_back_from_a_copy_holds_again_what_is_held",
+        "test_restored_store_receives_the_held_requests",
         Mutant(
             "trackwheel/quarantine/service.py", "self._store.era > self._stored_in_era", "False"
         ),
--- a/tests/quarantine/test_crash_tracker.py
+++ b/tests/quarantine/test_crash_tracker.py
@@ -69,8 +69,8 @@
 
 
 def hold_announced(request: bytes, left_s: float = HOLD_DURATION_S, at: float = 1.0) -> Step:
-    news = RequestsHeld([HeldRequest(request, left_s * 1000.0)])
-    return lambda tracker: tracker.handle_requests_held(news, at)
+    message = RequestsHeld([HeldRequest(request, left_s * 1000.0)])
+    return lambda tracker: tracker.handle_requests_held(message, at)
 
 
 def request_withdrawn(request: bytes, *numbers: int, at: float = 1.0) -> Step:
@@ -340,8 +340,8 @@
     for step in steps:
         step(tracker)
     tracker.tick(now)
-    shut = {one for one in (CRASHING, OTHER) if tracker.passage(one, now) is Passage.SHUT}
-    assert shut == held
+    not_sendable = {one for one in (CRASHING, OTHER) if tracker.passage(one, now) is Passage.SHUT}
+    assert not_sendable == held
     assert tracker.held_count == len(held)
     assert {row.fingerprint for row in tracker.held_requests(now).rows} == held
 
--- a/tests/quarantine/test_fleet.py
+++ b/tests/quarantine/test_fleet.py
@@ -95,7 +95,7 @@
 @SIZES
 @pytest.mark.parametrize(("loss", "within_s"), [(0.0, 0.8), (0.1, 3.0)], ids=["no-loss", "loss"])
 @pytest.mark.parametrize("crashes_each", [7, 1], ids=["all-shards", "one-target-each"])
-def test_every_box_holds_it_in_time(
+def test_every_box_holds_the_request_in_time(
     boxes: int, loss: float, within_s: float, crashes_each: int
 ) -> None:
     for seed in range(5):
@@ -113,7 +113,7 @@
 
 @SIZES
 @pytest.mark.parametrize("answered_at", [-0.1, 0.1, 0.3], ids=["before", "soon", "late"])
-def test_answer_at_one_box_clears_it_at_all(boxes: int, answered_at: float) -> None:
+def test_answer_at_one_box_clears_the_request_at_all(boxes: int, answered_at: float) -> None:
     fleet = Fleet(boxes, 0.0, seed=1)
     fleet.now = answered_at
     if answered_at < 0.0:
--- a/tests/quarantine/test_store_restored.py
+++ b/tests/quarantine/test_store_restored.py
@@ -38,7 +38,7 @@
     "found",
     [pytest.param([], id="lost"), pytest.param([CLEARED], id="lost-and-a-cleared-one-restored")],
 )
-def test_store_that_came_back_from_a_copy_holds_again_what_is_held(found: list[bytes]) -> None:
+def test_restored_store_receives_the_held_requests(found: list[bytes]) -> None:
     store = MemoryHeldStore()
 
     async def scenario() -> None:
--- a/trackwheel/platform/items.py
+++ b/trackwheel/platform/items.py
@@ -15,7 +15,7 @@
 class Item(msgspec.Struct):
     """One item as written, or the deletion of one.
 
-    `revision` is the store's own number; `in_era` converts it to one that rises over all eras.
+    `revision` is the store's own number; `in_era` converts it to one that rises across restores.
     """
 
     # The platform's name of the key; unrelated to TLS.
--- a/trackwheel/platform/store.py
+++ b/trackwheel/platform/store.py
@@ -215,7 +215,7 @@
     def _decode_events(
         self, answer: StoreAnswer, prefix: str, after: int
     ) -> Result[Events, TrackwheelError]:
-        """Decode the changes; fail if the store was restored and assigns revisions again."""
+        """Decode the changes; fail if the store was restored and assigned revisions again."""
         if answer.era != era_of(after):
             return Failure(self._restored_error(PATH_WATCH))
         events = self._decode(answer.body, Events, f"watch {prefix}")
--- a/trackwheel/platform/wire.py
+++ b/trackwheel/platform/wire.py
@@ -39,8 +39,8 @@
 
     def read_request(self, request: Request) -> CallerRequest:
         """Parse a client's request."""
-        told_ms = parse_number(header(request.headers, HEADER_DEADLINE) or b"")
-        left_s = DEFAULT_DEADLINE_S if told_ms is None else told_ms / MILLISECONDS
+        deadline_ms = parse_number(header(request.headers, HEADER_DEADLINE) or b"")
+        left_s = DEFAULT_DEADLINE_S if deadline_ms is None else deadline_ms / MILLISECONDS
         host = (header(request.headers, b"host") or b"").decode("latin-1").lower()
         path = request.target.partition(b"?")[0].decode("latin-1")
         request_id = (header(request.headers, HEADER_ATTEMPT) or b"").decode("latin-1")
@@ -69,8 +69,8 @@
 
     def check_answer(self, request_id: str, answer: Response) -> str:
         """Return why an answer does not belong to a request, or an empty string if it does."""
-        told = header(answer.headers, HEADER_ATTEMPT)
-        if told is not None and told.decode("latin-1") != request_id:
+        answer_id = header(answer.headers, HEADER_ATTEMPT)
+        if answer_id is not None and answer_id.decode("latin-1") != request_id:
             return "the answer belongs to another request"
         return ""
 
