--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -62,7 +62,7 @@
 DOWN_REPORTS = "tests/relay/test_down_reports.py::"
 CRASHING = "tests/whole/test_crashing_request.py::"
 CRASHING_QUERY = "tests/relay/test_crashing_query.py::"
-SUSPECTS = "tests/quarantine/test_suspects.py::"
+CRASH_TRACKER = "tests/quarantine/test_crash_tracker.py::"
 HOLDING = "tests/quarantine/test_fleet.py::"
 CLOCK = "tests/test_clock.py::"
 READINGS = "tests/directory/test_readings.py::"
@@ -814,7 +814,9 @@
         "a target's own refusal after it ran",
         WIRE + "test_answers_to_clients",
         Mutant(
-            "trackwheel/platform/wire.py", "if answer.status in PROMISES:", "if answer.status < 0:"
+            "trackwheel/platform/wire.py",
+            "if answer.status in NOT_RUN_STATUSES:",
+            "if answer.status < 0:",
         ),
     ),
     Row(
@@ -1256,11 +1258,11 @@
         PLATFORM,
         TOLD,
         "loads of three figures and more, and none that can be read",
-        WIRE + "test_told_load",
+        WIRE + "test_load_header",
         Mutant(
             "trackwheel/platform/load.py",
-            "max(LEAST_FIGURES, len(figures))",
-            "LEAST_FIGURES or len(figures) != LEAST_FIGURES",
+            "max(MIN_FIELDS, len(fields))",
+            "MIN_FIELDS or len(fields) != MIN_FIELDS",
         ),
     ),
     Row(
@@ -1295,7 +1297,7 @@
         PLATFORM,
         FOREIGN,
         "fields of other types, unnamed states",
-        ENTRIES + "test_field_of_another_type_or_name_names_no_target",
+        ENTRIES + "test_field_of_wrong_type_or_value_is_rejected",
         Mutant(
             "trackwheel/platform/decode.py", 'state: Literal["ready", "draining"]', "state: str"
         ),
@@ -1304,7 +1306,7 @@
         PLATFORM,
         FOREIGN,
         "4,000 generated entries",
-        ENTRIES + "test_any_bytes_are_read_or_refused",
+        ENTRIES + "test_any_bytes_are_decoded_or_rejected",
         Mutant(
             "trackwheel/platform/decode.py",
             "    except (msgspec.DecodeError, ValueError, RecursionError) as error:\n"
@@ -1317,7 +1319,7 @@
         PLATFORM,
         FOREIGN,
         "beside sound entries, in a reading and in a watch",
-        ENTRIES + "test_others_hold_beside_a_foreign_entry_and_its_key_names_no_target",
+        ENTRIES + "test_invalid_entry_removes_its_key_and_keeps_the_others",
         Mutant(
             "trackwheel/platform/store.py",
             "TargetsRead(after, entries, gone + unusable,",
@@ -1349,7 +1351,7 @@
         CRASHING + "test_boxes_that_start_know_what_is_held",
         Mutant(
             "trackwheel/quarantine/service.py",
-            "self._suspects.take_held(RequestsHeld(rows), steady_now())",
+            "self._tracker.handle_requests_held(RequestsHeld(rows), steady_now())",
             "pass",
         ),
     ),
@@ -1360,7 +1362,7 @@
         CRASHING + "test_box_that_starts_while_the_store_is_down_is_told_by_its_peers",
         Mutant(
             "trackwheel/quarantine/service.py",
-            "self._tell_all(self._suspects.held_requests(now))",
+            "self._broadcast(self._tracker.held_requests(now))",
             "pass",
         ),
     ),
@@ -1376,7 +1378,7 @@
         "four others at every target that ended are served once targets are back",
         CRASHING + "test_bystanders_are_served_once_targets_are_back",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
+            "trackwheel/quarantine/crash_tracker.py",
             "if len(tied) == 1 or self._is_on_trial(one, now)",
             "if True",
         ),
@@ -1385,10 +1387,10 @@
         PLATFORM,
         HELD,
         "any order of ends, answers, news, of one request and of those beside it",
-        SUSPECTS + "test_held",
+        CRASH_TRACKER + "test_held",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
-            "            evidence.take_out(lives)\n",
+            "trackwheel/quarantine/crash_tracker.py",
+            "            evidence.remove_attributed(lives)\n",
             "",
         ),
     ),
@@ -1396,10 +1398,10 @@
         PLATFORM,
         HELD,
         "fleets of 6, 60 and 195 boxes, a tenth of the messages lost",
-        HOLDING + "test_every_box_holds_it_in_time",
+        HOLDING + "test_every_box_holds_the_request_in_time",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
-            "self._commands.append(TellAll(CrashReport(rows)))",
+            "trackwheel/quarantine/crash_tracker.py",
+            "self._commands.append(Broadcast(CrashReport(rows)))",
             "pass",
         ),
     ),
@@ -1407,10 +1409,10 @@
         PLATFORM,
         HELD,
         "an answer at one box, before and after its ends are told",
-        HOLDING + "test_answer_at_one_box_clears_it_at_all",
+        HOLDING + "test_answer_at_one_box_clears_the_request_at_all",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
-            "self._commands.append(TellAll(RequestsAnswered(answered)))",
+            "trackwheel/quarantine/crash_tracker.py",
+            "self._commands.append(Broadcast(RequestsAnswered(answered)))",
             "pass",
         ),
     ),
@@ -1494,14 +1496,14 @@
         PLATFORM,
         SET_BACK,
         "a watch from a revision that is given for the second time",
-        "tests/platform/test_store.py::test_revisions_that_are_given_again_are_later_ones",
+        "tests/platform/test_store.py::test_reassigned_revisions_are_later",
         Mutant("trackwheel/platform/store.py", "answer.era != era_of(after)", "False"),
     ),
     Row(
         PLATFORM,
         SET_BACK,
         "a reading whose pages are of before and after",
-        "tests/platform/test_store.py::test_pages_of_two_eras_are_no_reading",
+        "tests/platform/test_store.py::test_pages_of_two_eras_are_rejected",
         Mutant("trackwheel/platform/store.py", "era_of(page.as_of) != era_of(as_of)", "False"),
     ),
     Row(
@@ -1515,8 +1517,8 @@
         PLATFORM,
         SET_BACK,
         "held requests that the copy lacks, or still has",
-        "tests/quarantine/test_store_goes_back.py::"
-        "test_store_that_came_back_from_a_copy_holds_again_what_is_held",
+        "tests/quarantine/test_store_restored.py::"
+        "test_restored_store_receives_the_held_requests",
         Mutant(
             "trackwheel/quarantine/service.py", "self._store.era > self._stored_in_era", "False"
         ),
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -187,7 +187,7 @@
         domain_peers, remote_watchers = self.fleet.domain_peers(), self.fleet.remote_watchers()
         before = self.fleet.watcher_predecessors(own)
         self.directory.set_peers(before, domain_peers, remote_watchers)
-        self.quarantine.set_boxes(domain_peers, remote_watchers, tells_again=not before)
+        self.quarantine.set_boxes(domain_peers, remote_watchers, rebroadcasts=not before)
         boxes = [
             PeerBox(m.address, Place(m.region, m.failure_domain), m.speed)
             for m in members
--- a/trackwheel/gateway/queries.py
+++ b/trackwheel/gateway/queries.py
@@ -153,7 +153,7 @@
         self, group: str, service: ServiceSpec, policy: Policy, query: str
     ) -> QueryResult:
         """Run one query and return its result; raise `CallerError` if it fails."""
-        wait_s = self._quarantine.waits_s(query_fingerprint(service.name, query))
+        wait_s = self._quarantine.retry_after_s(query_fingerprint(service.name, query))
         if wait_s > 0.0:
             detail = "targets crashed while serving this query"
             raise refusal(Code.HELD, "admit", detail, "Retry later", wait_s)
--- a/trackwheel/relay/inbound_groups.py
+++ b/trackwheel/relay/inbound_groups.py
@@ -151,7 +151,7 @@
             return
         self._hub.send(sender.address, GroupAccepted(message.group_id))
         task = self._task(message, now)
-        if self._quarantine.holds(task.request.fingerprint):
+        if self._quarantine.is_held(task.request.fingerprint):
             self._reject_held(sender, message)
             return
         group = self._group_by_key[key] = _InboundGroup(sender, message, self._hub, now)
@@ -167,7 +167,7 @@
 
     def _reject_held(self, sender: PeerIdentity, message: GroupForward) -> None:
         """Tell the sender that its request is held; no target is asked."""
-        self._quarantine.tell(sender.address)
+        self._quarantine.send_held_requests(sender.address)
         self._hub.send(sender.address, GroupParts(message.group_id, [], [], b"", True, False))
 
     def _task(self, message: GroupForward, now: float) -> GatherTask:
--- a/trackwheel/relay/outcomes.py
+++ b/trackwheel/relay/outcomes.py
@@ -12,14 +12,16 @@
         match outcome:
             case Outcome.OK:
                 # Only a success clears a request: a failing target may not have started it.
-                quarantine.answered(attempt.request.fingerprint)
+                quarantine.request_answered(attempt.request.fingerprint)
             case Outcome.CLOSED:
-                quarantine.closed(attempt.request.fingerprint, attempt.target.incarnation)
+                quarantine.connection_closed(
+                    attempt.request.fingerprint, attempt.target.incarnation
+                )
             case Outcome.NOT_SENT:
-                quarantine.refused(attempt.target.incarnation)
+                quarantine.connection_refused(attempt.target.incarnation)
 
     def taken_back(fingerprint: bytes, target: Target) -> None:
-        quarantine.taken_back(fingerprint, target.incarnation)
+        quarantine.request_withdrawn(fingerprint, target.incarnation)
 
     transport.on_attempt_end(ended)
     transport.on_withdrawn(taken_back)
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -30,7 +30,7 @@
 from trackwheel.relay.timer import Timer
 from trackwheel.relay.transport import TargetTransport
 from trackwheel.routing.models import Route, RouteTable
-from trackwheel.routing.table import WeightedDivider, find_route
+from trackwheel.routing.table import WeightedRoundRobin, find_route
 from trackwheel.telemetry.events import EventLog
 from trackwheel.telemetry.figures import Figures
 from trackwheel.units import MILLISECONDS
@@ -61,7 +61,7 @@
         self._log = log
         self._figures = figures
         self.ended_by_kind: Counter[tuple[str]] = Counter()
-        self._divider = WeightedDivider()
+        self._round_robin = WeightedRoundRobin()
         self._table: RouteTable | None = None
         self._startup_queue = StartupQueue(self.handle, self._refuse_without_routes)
         self._planner = GroupPlanner(place, address, selector, groups.peer_tracker)
@@ -97,7 +97,7 @@
             return
         if self._refuse_held(caller, route, exchange):
             return
-        one_target = self._quarantine.goes_to_one(caller.fingerprint)
+        one_target = self._quarantine.start_trial(caller.fingerprint)
         if not route.shards:
             self._serve_single(caller, route, table.version, exchange, one_target)
         elif one_target:
@@ -107,7 +107,7 @@
 
     def _refuse_held(self, caller: CallerRequest, route: Route, exchange: Exchange) -> bool:
         """Refuse a request that is held in quarantine; return whether it was refused."""
-        retry_after_s = self._quarantine.waits_s(caller.fingerprint)
+        retry_after_s = self._quarantine.retry_after_s(caller.fingerprint)
         if retry_after_s <= 0.0:
             return False
         self.ended_by_kind[("held",)] += 1
@@ -136,7 +136,7 @@
         """Return the plan for one target at a time; with `one_target`, for a single attempt."""
         return SinglePlan(
             route=RouteKey(route.name, route.aim_s, route.homes),
-            service=route.shards[0] if route.shards else self._divider.pick(route),
+            service=route.shards[0] if route.shards else self._round_robin.pick(route),
             repeatable=route.repeatable,
             max_attempts=1 if one_target else route.max_attempts,
             answer_at=_answer_at(caller, route),
