--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -1,7 +1,8 @@
 """The real decisions of some boxes about queries over many shards, in virtual time.
 
-Each box has the product's own board, budget, planner and gathers; this module is their shell: links
-with delays, messages between boxes, a processor each. It knows nothing of membership and the store.
+Each box has the product's own selector, budget, planner and gathers; this module is their shell:
+links with delays, messages between boxes, a processor each. It knows nothing of membership and the
+store.
 """
 
 from collections.abc import Callable
@@ -11,8 +12,8 @@
 
 from bench.agenda import Action, Agenda, Processor
 from bench.policy_targets import QUIET, Habits, ModelTarget
-from trackwheel.relay.board import Board
-from trackwheel.relay.budget import BudgetRule, RepeatBudget
+from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
+from trackwheel.relay.down_reports import DownReports, TargetDown
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import (
     CancelGroup,
@@ -28,8 +29,8 @@
 from trackwheel.relay.gatherers import choose_gatherers
 from trackwheel.relay.grouping import GroupPlanner
 from trackwheel.relay.models import Load, Outcome, Part, Place, RouteKey, Target, TargetResult
-from trackwheel.relay.news import TargetDown, TargetNews
-from trackwheel.relay.peers import PeerBoard, PeerBox
+from trackwheel.relay.peers import PeerBox, PeerTracker
+from trackwheel.relay.target_selector import TargetSelector
 
 SEND_S: Final = 0.0004
 """Processor time of one request to a target and its answer, for one core."""
@@ -93,12 +94,12 @@
         self.peer = peer
         self.place = peer.place
         self.processor = Processor(fleet.agenda, peer.speed)
-        self.board = Board(peer.place, seed)
-        self.budget = RepeatBudget(BudgetRule(0.2, 10.0, fleet.extra), -100.0)
+        self.selector = TargetSelector(peer.place, seed)
+        self.budget = RetryBudget(RetryBudgetLimits(0.2, 10.0, fleet.extra), -100.0)
         self.links: set[str] = set()
-        self.peer_board = PeerBoard(self.links.__contains__)
-        self.planner = GroupPlanner(peer.place, peer.address, self.board, self.peer_board)
-        self.news = TargetNews(self.board)
+        self.peer_tracker = PeerTracker(self.links.__contains__)
+        self.planner = GroupPlanner(peer.place, peer.address, self.selector, self.peer_tracker)
+        self.reports = DownReports(self.selector)
         self.told: tuple[str, ...] = ()
 
     def tell(self, address: str, action: Callable[["ModelBox"], None]) -> None:
@@ -125,7 +126,7 @@
         way_s = delay_s(self.place, who.place)
         server = self.fleet.target_by_instance[who.instance]
         sent_at = agenda.now
-        self.board.sent(who, key, run.gather.plan.route, agenda.now)
+        self.selector.sent(who, key, run.gather.plan.route, agenda.now)
 
         def ended(outcome: Outcome, load: Load | None) -> None:
             agenda.at(
@@ -153,15 +154,15 @@
         if token not in run.tokens:
             return
         now = self.fleet.agenda.now
-        self.board.ended(who, (run, token), outcome, load, now)
-        news = self.news.ended(who, outcome, sent_at, now)
+        self.selector.ended(who, (run, token), outcome, load, now)
+        news = self.reports.request_ended(who, outcome, sent_at, now)
         if news is not None and self.fleet.tells_news:
             for address in self.told:
                 self.tell(address, lambda box: self._hear(box, news))
         run.part_ended(token, outcome)
 
     def _hear(self, box: "ModelBox", news: TargetDown) -> None:
-        box.news.told(self.peer.address, news, self.fleet.agenda.now)
+        box.reports.receive(self.peer.address, news, self.fleet.agenda.now)
 
 
 class GatherRun:
@@ -214,7 +215,7 @@
             case CancelPart(token, who):
                 del self.tokens[token]
                 key = (self, token)
-                self.box.board.withdrawn(who, key, self.box.fleet.agenda.now)
+                self.box.selector.withdrawn(who, key, self.box.fleet.agenda.now)
                 self.box.fleet.target_by_instance[who.instance].withdraw(key)
             case SendGroup(number, group):
                 self.groups[number] = TakenGroup(self, command)
@@ -225,7 +226,7 @@
                 self.on_declined(shards)
             case PeerSilent(address, accepted):
                 if not accepted:
-                    self.box.peer_board.failed(address, self.box.fleet.agenda.now)
+                    self.box.peer_tracker.record_failure(address, self.box.fleet.agenda.now)
             case Gathered() | GatherFailed():
                 self._on_end(command)
 
@@ -261,7 +262,7 @@
         self._run = GatherRun(
             box,
             self._sender.kind,
-            Gather(part, box.board, box.budget),
+            Gather(part, box.selector, box.budget),
             lambda end: self._report(True),
         )
         self._run.on_part = self._part_came
@@ -317,7 +318,7 @@
 
     def _accepted(self, sender: GatherRun) -> None:
         took_s = sender.box.fleet.agenda.now - self._asked_at
-        sender.box.peer_board.accepted(self.address, took_s)
+        sender.box.peer_tracker.record_accepted(self.address, took_s)
         sender.gather.group_accepted(self._command.number)
 
     def _to_sender(self, box: ModelBox, action: Callable[[GatherRun], None]) -> None:
@@ -372,7 +373,7 @@
         for box in self.box_by_address.values():
             own = box.peer.address
             others = tuple(peer for peer in asking if peer.address != own)
-            box.board.set_targets(targets, 0.0)
+            box.selector.set_targets(targets, 0.0)
             box.planner.set_peers(others, own in gatherers)
             box.budget.set_members(len(boxes), -50.0)
             box.budget.set_gatherers(
@@ -392,7 +393,7 @@
             for shard, found in self._targets.items()
         }
         for box in self.box_by_address.values():
-            box.board.set_targets(barred, self.agenda.now)
+            box.selector.set_targets(barred, self.agenda.now)
 
     def play(self, kinds: list[Kind], seconds: float) -> dict[str, Tally]:
         """Let callers come for some seconds and return how their queries ended."""
@@ -422,7 +423,7 @@
             False,
         )
         tally.asked += 1
-        gather = Gather(plan, box.board, box.budget, box.planner)
+        gather = Gather(plan, box.selector, box.budget, box.planner)
 
         def ended(end: Gathered | GatherFailed) -> None:
             _count(tally, end, self.agenda.now <= now + kind.aim_s - RETURN_S / 2, len(self.shards))
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -47,22 +47,22 @@
 SHARDS = "tests/relay/test_gather.py::"
 HOMES = "tests/relay/test_homes.py::"
 COLD = "tests/relay/test_cold.py::"
-LIVES = "tests/relay/test_lives.py::"
+INCARNATIONS = "tests/relay/test_incarnations.py::"
 ENTRIES = "tests/platform/test_entries.py::"
 EVACUATED = "tests/directory/test_evacuations.py::"
 PARTS_IN = "tests/relay/test_parts.py::"
 SINGLE = "tests/relay/test_single.py::"
 REPEATS = "tests/relay/test_budget.py::"
-CHOICE = "tests/relay/test_board.py::"
+CHOICE = "tests/relay/test_target_selector.py::"
 HTTP_TARGET = "tests/http1/test_client.py::"
 HTTP_CLIENT = "tests/http1/test_server.py::"
 DIRECTORY = "tests/directory/test_targets.py::"
 WATCHING = "tests/directory/test_watcher_election.py::"
 OUTAGE = "tests/directory/test_store_outage.py::"
-NEWS = "tests/relay/test_news.py::"
+DOWN_REPORTS = "tests/relay/test_down_reports.py::"
 CRASHING = "tests/whole/test_crashing_request.py::"
 CRASHING_QUERY = "tests/relay/test_crashing_query.py::"
-SUSPECTS = "tests/quarantine/test_suspects.py::"
+CRASH_TRACKER = "tests/quarantine/test_crash_tracker.py::"
 HOLDING = "tests/quarantine/test_fleet.py::"
 CLOCK = "tests/test_clock.py::"
 READINGS = "tests/directory/test_readings.py::"
@@ -702,8 +702,12 @@
         PLATFORM,
         BUDGET,
         "a box asks targets in the place of another one that used its part",
-        REPEATS + "test_box_that_takes_the_place_of_another_waits_for_a_window",
-        Mutant("trackwheel/relay/askers.py", " or self._is_new(self._gathers_since, now)", ""),
+        REPEATS + "test_new_gatherer_has_no_share_for_a_window",
+        Mutant(
+            "trackwheel/relay/allowance_sharers.py",
+            " or self._is_new(self._gathers_since, now)",
+            "",
+        ),
     ),
     Row(
         PLATFORM,
@@ -810,7 +814,9 @@
         "a target's own refusal after it ran",
         WIRE + "test_answers_to_clients",
         Mutant(
-            "trackwheel/platform/wire.py", "if answer.status in PROMISES:", "if answer.status < 0:"
+            "trackwheel/platform/wire.py",
+            "if answer.status in NOT_RUN_STATUSES:",
+            "if answer.status < 0:",
         ),
     ),
     Row(
@@ -824,7 +830,7 @@
         PLATFORM,
         BUDGET,
         "1 to 60 boxes at three rates, every window",
-        REPEATS + "test_all_boxes_together_stay_within_the_rule",
+        REPEATS + "test_all_boxes_together_stay_within_the_limit",
         Mutant(
             "trackwheel/relay/budget.py",
             "return allowance / members",
@@ -835,10 +841,10 @@
         PLATFORM,
         BUDGET,
         "boxes are killed and come back, each thinking that it is alone",
-        REPEATS + "test_members_that_come_anew_fit_under_the_rule",
+        REPEATS + "test_restarted_boxes_stay_within_the_limit",
         Mutant(
-            "trackwheel/relay/askers.py",
-            "0 if self._is_new(self._born, now) else ",
+            "trackwheel/relay/allowance_sharers.py",
+            "0 if self._is_new(self._started_at, now) else ",
             "",
         ),
     ),
@@ -846,10 +852,10 @@
         PLATFORM,
         BUDGET,
         "a target's address was given to another service",
-        CHOICE + "test_target_whose_address_another_one_has_is_not_even_a_last_resort",
+        CHOICE + "test_target_replaced_at_its_address_gets_no_requests",
         Mutant(
             "trackwheel/relay/record.py",
-            "self.ejected_until = self.gone_until = now + GONE_S",
+            "self.ejected_until = self.gone_until = now + REPLACED_EJECT_S",
             "pass",
         ),
     ),
@@ -958,9 +964,9 @@
         PLATFORM,
         MEMBERSHIP,
         "a target dies; false, old and repeated news of it",
-        NEWS + "test_news_of_others",
+        DOWN_REPORTS + "test_reports_of_other_boxes",
         Mutant(
-            "trackwheel/relay/board.py",
+            "trackwheel/relay/target_selector.py",
             "if record.answered_at >= failed_at or record.reported_down_until >= until:",
             "if record.reported_down_until >= until:",
         ),
@@ -1038,7 +1044,7 @@
         "all targets of a shard refuse it, with time left",
         SHARDS + "test_shard_that_all_targets_refused_is_asked_again_within_the_aim",
         Mutant(
-            "trackwheel/relay/asking.py",
+            "trackwheel/relay/shard_requester.py",
             "elif refusal is Refusal.NOT_NOW and not self._plan.repeat:",
             "elif False:",
         ),
@@ -1050,7 +1056,7 @@
         SHARDS + "test_shards_that_may_lack_leave_a_reserve",
         Mutant(
             "trackwheel/relay/budget.py",
-            "            allowed *= 1.0 - RESERVE_FOR_NEEDED\n",
+            "            allowed *= 1.0 - BUDGET_RESERVE_SHARE\n",
             "            pass\n",
         ),
     ),
@@ -1119,9 +1125,9 @@
         PLATFORM,
         IN_HOMES,
         "targets in homes and outside, at the first choice",
-        HOMES + "test_choice_is_among_the_targets_of_the_homes",
+        HOMES + "test_only_targets_in_the_homes_are_ranked",
         Mutant(
-            "trackwheel/relay/board.py",
+            "trackwheel/relay/target_selector.py",
             "            if route.allows(target.place.region)\n            if self._may_ask",
             "            if self._may_ask",
         ),
@@ -1210,10 +1216,10 @@
         PLATFORM,
         COLD_BOUND,
         "two hundred requests a second from each of several boxes",
-        COLD + "test_all_boxes_together_keep_the_bound_in_every_second",
+        COLD + "test_all_boxes_together_keep_the_limit_in_every_second",
         Mutant(
             "trackwheel/relay/cold.py",
-            "return len(self._recent(target, now)) < self.part(target, now)",
+            "return len(self._recent_sends(target, now)) < self.share(target, now)",
             "return True",
         ),
     ),
@@ -1221,16 +1227,18 @@
         PLATFORM,
         COLD_BOUND,
         "all cuts of up to eight boxes in two, with all views that each half may have",
-        COLD + "test_two_views_of_the_fleet_keep_the_bound_together",
-        Mutant("trackwheel/relay/cold.py", "VIEWS: Final = 2", "VIEWS: Final = 1"),
+        COLD + "test_partitioned_fleet_keeps_the_limit",
+        Mutant(
+            "trackwheel/relay/cold.py", "MAX_FLEET_VIEWS: Final = 2", "MAX_FLEET_VIEWS: Final = 1"
+        ),
     ),
     Row(
         PLATFORM,
         COLD_BOUND,
         "boxes restart or take over four times in a row",
-        COLD + "test_boxes_that_begin_have_no_part_while_those_before_may_have_used_it",
+        COLD + "test_new_gatherers_have_no_share_while_earlier_ones_may_have_used_it",
         Mutant(
-            "trackwheel/relay/askers.py",
+            "trackwheel/relay/allowance_sharers.py",
             "return now - since < self._window_s",
             "return False",
         ),
@@ -1239,10 +1247,10 @@
         PLATFORM,
         COLD_BOUND,
         "an evacuation is taken back, and targets started anew in it",
-        COLD + "test_targets_whose_evacuation_was_taken_back_are_thought_cold",
+        COLD + "test_targets_are_cold_after_an_evacuation_ends",
         Mutant(
-            "trackwheel/relay/board.py",
-            "            self._doubt_returned(chain.from_iterable(before.values()), now)\n",
+            "trackwheel/relay/target_selector.py",
+            "            self._assume_returned_cold(chain.from_iterable(before.values()), now)\n",
             "            pass\n",
         ),
     ),
@@ -1250,18 +1258,18 @@
         PLATFORM,
         TOLD,
         "loads of three figures and more, and none that can be read",
-        WIRE + "test_told_load",
+        WIRE + "test_load_header",
         Mutant(
             "trackwheel/platform/load.py",
-            "max(LEAST_FIGURES, len(figures))",
-            "LEAST_FIGURES or len(figures) != LEAST_FIGURES",
+            "max(MIN_FIELDS, len(fields))",
+            "MIN_FIELDS or len(fields) != MIN_FIELDS",
         ),
     ),
     Row(
         PLATFORM,
         ONE_LIFE,
         "a target fails in each way and starts again under its name",
-        LIVES + "test_failures_of_the_earlier_life_end_with_it",
+        INCARNATIONS + "test_failures_of_an_earlier_incarnation_do_not_count",
         Mutant(
             "trackwheel/relay/models.py",
             "return self.instance, self.born_ms",
@@ -1272,15 +1280,15 @@
         PLATFORM,
         ONE_LIFE,
         "entries of two lives in any order",
-        LIVES + "test_newest_life_is_known_in_any_order_of_news",
+        INCARNATIONS + "test_newest_incarnation_wins_in_any_order_of_updates",
     ),
     Row(
         PLATFORM,
         ONE_LIFE,
         "news of the earlier life, before and after the new entry",
-        LIVES + "test_news_of_the_earlier_life_say_nothing_of_the_new_one",
+        INCARNATIONS + "test_reports_on_an_earlier_incarnation_do_not_affect_the_new_one",
         Mutant(
-            "trackwheel/relay/news.py",
+            "trackwheel/relay/down_reports.py",
             "return self.instance, self.born_ms",
             "return self.instance, 9_000",
         ),
@@ -1289,7 +1297,7 @@
         PLATFORM,
         FOREIGN,
         "fields of other types, unnamed states",
-        ENTRIES + "test_field_of_another_type_or_name_names_no_target",
+        ENTRIES + "test_field_of_wrong_type_or_value_is_rejected",
         Mutant(
             "trackwheel/platform/decode.py", 'state: Literal["ready", "draining"]', "state: str"
         ),
@@ -1298,7 +1306,7 @@
         PLATFORM,
         FOREIGN,
         "4,000 generated entries",
-        ENTRIES + "test_any_bytes_are_read_or_refused",
+        ENTRIES + "test_any_bytes_are_decoded_or_rejected",
         Mutant(
             "trackwheel/platform/decode.py",
             "    except (msgspec.DecodeError, ValueError, RecursionError) as error:\n"
@@ -1311,7 +1319,7 @@
         PLATFORM,
         FOREIGN,
         "beside sound entries, in a reading and in a watch",
-        ENTRIES + "test_others_hold_beside_a_foreign_entry_and_its_key_names_no_target",
+        ENTRIES + "test_invalid_entry_removes_its_key_and_keeps_the_others",
         Mutant(
             "trackwheel/platform/store.py",
             "TargetsRead(after, entries, gone + unusable,",
@@ -1323,7 +1331,7 @@
         HELD,
         "a query, a look-up, one that may run only once, sent again at each box",
         CRASHING + "test_request_under_which_three_targets_ended_goes_to_no_more",
-        Mutant("trackwheel/relay/service.py", "if waits_s <= 0.0:", "if True:"),
+        Mutant("trackwheel/relay/service.py", "if retry_after_s <= 0.0:", "if True:"),
     ),
     Row(
         PLATFORM,
@@ -1343,7 +1351,7 @@
         CRASHING + "test_boxes_that_start_know_what_is_held",
         Mutant(
             "trackwheel/quarantine/service.py",
-            "self._suspects.take_held(RequestsHeld(rows), steady_now())",
+            "self._tracker.handle_requests_held(RequestsHeld(rows), steady_now())",
             "pass",
         ),
     ),
@@ -1354,7 +1362,7 @@
         CRASHING + "test_box_that_starts_while_the_store_is_down_is_told_by_its_peers",
         Mutant(
             "trackwheel/quarantine/service.py",
-            "self._tell_all(self._suspects.held_requests(now))",
+            "self._broadcast(self._tracker.held_requests(now))",
             "pass",
         ),
     ),
@@ -1370,7 +1378,7 @@
         "four others at every target that ended are served once targets are back",
         CRASHING + "test_bystanders_are_served_once_targets_are_back",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
+            "trackwheel/quarantine/crash_tracker.py",
             "if len(tied) == 1 or self._is_on_trial(one, now)",
             "if True",
         ),
@@ -1379,10 +1387,10 @@
         PLATFORM,
         HELD,
         "any order of ends, answers, news, of one request and of those beside it",
-        SUSPECTS + "test_held",
+        CRASH_TRACKER + "test_held",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
-            "            evidence.take_out(lives)\n",
+            "trackwheel/quarantine/crash_tracker.py",
+            "            evidence.remove_attributed(lives)\n",
             "",
         ),
     ),
@@ -1390,10 +1398,10 @@
         PLATFORM,
         HELD,
         "fleets of 6, 60 and 195 boxes, a tenth of the messages lost",
-        HOLDING + "test_every_box_holds_it_in_time",
+        HOLDING + "test_every_box_holds_the_request_in_time",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
-            "self._commands.append(TellAll(CrashReport(rows)))",
+            "trackwheel/quarantine/crash_tracker.py",
+            "self._commands.append(Broadcast(CrashReport(rows)))",
             "pass",
         ),
     ),
@@ -1401,10 +1409,10 @@
         PLATFORM,
         HELD,
         "an answer at one box, before and after its ends are told",
-        HOLDING + "test_answer_at_one_box_clears_it_at_all",
+        HOLDING + "test_answer_at_one_box_clears_the_request_at_all",
         Mutant(
-            "trackwheel/quarantine/suspects.py",
-            "self._commands.append(TellAll(RequestsAnswered(answered)))",
+            "trackwheel/quarantine/crash_tracker.py",
+            "self._commands.append(Broadcast(RequestsAnswered(answered)))",
             "pass",
         ),
     ),
@@ -1488,14 +1496,14 @@
         PLATFORM,
         SET_BACK,
         "a watch from a revision that is given for the second time",
-        "tests/platform/test_store.py::test_revisions_that_are_given_again_are_later_ones",
+        "tests/platform/test_store.py::test_reassigned_revisions_are_later",
         Mutant("trackwheel/platform/store.py", "answer.era != era_of(after)", "False"),
     ),
     Row(
         PLATFORM,
         SET_BACK,
         "a reading whose pages are of before and after",
-        "tests/platform/test_store.py::test_pages_of_two_eras_are_no_reading",
+        "tests/platform/test_store.py::test_pages_of_two_eras_are_rejected",
         Mutant("trackwheel/platform/store.py", "era_of(page.as_of) != era_of(as_of)", "False"),
     ),
     Row(
@@ -1509,8 +1517,8 @@
         PLATFORM,
         SET_BACK,
         "held requests that the copy lacks, or still has",
-        "tests/quarantine/test_store_goes_back.py::"
-        "test_store_that_came_back_from_a_copy_holds_again_what_is_held",
+        "tests/quarantine/test_store_restored.py::"
+        "test_restored_store_receives_the_held_requests",
         Mutant(
             "trackwheel/quarantine/service.py", "self._store.era > self._stored_in_era", "False"
         ),
@@ -1535,7 +1543,7 @@
         SUSPENDED,
         "a timer that was due meanwhile",
         CLOCK + "test_timer_that_was_due_while_suspended_fires_soon_after",
-        Mutant("trackwheel/relay/timer.py", "if delay_s > LONGEST_SLEEP_S:", "if False:"),
+        Mutant("trackwheel/relay/timer.py", "if delay_s > MAX_SLEEP_S:", "if False:"),
     ),
     Row(
         PLATFORM,
--- a/tests/relay/test_homes.py
+++ b/tests/relay/test_homes.py
@@ -1,22 +1,22 @@
-"""Routes with homes: no target and no peer outside them, whatever is late, lost or refused.
+"""Routes with homes never use targets or peers outside these regions.
 
-The load: a fleet over three regions, shards with targets in each of them, and a route that one
-region, or two, may serve. Each way of a request is taken: the first choice, groups for peers, the
-second target, a peer that declines, and a region without a living target.
+The fleet spans three regions, shards have targets in each of them, and one or two regions may serve
+the route. All paths of a request are covered: the first choice, groups for peers, the second
+target, a peer that declines, and a region without a live target.
 """
 
 import pytest
 
 from tests.relay.conftest import HERE, OLD, ROUTE, THERE, target
 from trackwheel.peers.codec import Codec
-from trackwheel.relay.board import Board, Lack
-from trackwheel.relay.budget import BudgetRule, RepeatBudget
+from trackwheel.relay.budget import RetryBudget, RetryBudgetLimits
 from trackwheel.relay.gather import Gather
 from trackwheel.relay.gather_models import GatherFailed, GatherPlan, SendGroup, SendPart
 from trackwheel.relay.grouping import GroupPlanner
 from trackwheel.relay.models import Outcome, Place, RouteKey, TargetResult
-from trackwheel.relay.peers import RELAY_MESSAGES, GroupForward, PeerBoard, PeerBox
+from trackwheel.relay.peers import RELAY_MESSAGES, GroupForward, PeerBox, PeerTracker
 from trackwheel.relay.single import SendSingle, Single, SingleFailed, SinglePlan
+from trackwheel.relay.target_selector import NoTargetReason, TargetSelector
 
 BESIDE = Place("here", "here-b")
 YONDER = Place("yonder", "yonder-a")
@@ -30,9 +30,9 @@
     return ROUTE._replace(homes=homes)
 
 
-def make_board(places: tuple[Place, ...] = PLACES) -> Board:
-    board = Board(HERE, seed=1)
-    board.set_targets(
+def make_selector(places: tuple[Place, ...] = PLACES) -> TargetSelector:
+    selector = TargetSelector(HERE, seed=1)
+    selector.set_targets(
         {
             shard: tuple(
                 target(f"{shard}@{place.failure_domain}", shard, place) for place in places
@@ -41,33 +41,33 @@
         },
         0.0,
     )
-    return board
+    return selector
 
 
-def make_planner(board: Board, gathers: bool = True) -> GroupPlanner:
-    planner = GroupPlanner(HERE, "own:1", board, PeerBoard())
+def make_planner(selector: TargetSelector, gathers: bool = True) -> GroupPlanner:
+    planner = GroupPlanner(HERE, "own:1", selector, PeerTracker())
     planner.set_peers(PEERS, gathers)
     return planner
 
 
-def make_budget() -> RepeatBudget:
-    budget = RepeatBudget(BudgetRule(10.0, 10.0, 1000.0), OLD)
+def make_budget() -> RetryBudget:
+    budget = RetryBudget(RetryBudgetLimits(10.0, 10.0, 1000.0), OLD)
     budget.set_members(1, 0.0)
     return budget
 
 
 @pytest.mark.parametrize("homes", HOMES, ids=sorted)
-def test_choice_is_among_the_targets_of_the_homes(homes: frozenset[str]) -> None:
-    board = make_board()
-    choices = board.rank("s0", homed(homes), 0.0)
+def test_only_targets_in_the_homes_are_ranked(homes: frozenset[str]) -> None:
+    selector = make_selector()
+    choices = selector.rank("s0", homed(homes), 0.0)
     assert {choice.target.place.region for choice in choices} == homes
-    assert len(board.rank("s0", ROUTE, 0.0)) == len(PLACES)
+    assert len(selector.rank("s0", ROUTE, 0.0)) == len(PLACES)
 
 
 @pytest.mark.parametrize("homes", HOMES, ids=sorted)
-@pytest.mark.parametrize("gathers", [True, False], ids=["gathers", "leaves-it-to-others"])
+@pytest.mark.parametrize("gathers", [True, False], ids=["gathers", "not-a-gatherer"])
 def test_no_group_goes_outside_the_homes(homes: frozenset[str], gathers: bool) -> None:
-    planner = make_planner(make_board(), gathers)
+    planner = make_planner(make_selector(), gathers)
     groups = planner.first_groups(SHARDS, homed(homes), 0.19, 0.0)
     assert all(group.place.region in homes for group in groups)
     assert groups or homes == {"here"}
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("homes", HOMES, ids=sorted)
 @pytest.mark.parametrize("repeat", [True, False], ids=["repeat", "declined"])
 def test_no_late_shard_goes_outside_the_homes(homes: frozenset[str], repeat: bool) -> None:
-    planner = make_planner(make_board())
+    planner = make_planner(make_selector())
     plan = GatherPlan(homed(homes), SHARDS, 3, (), 0.8, 2, 0.19, 1.0, False)
     tried = {shard: frozenset({f"{shard}@here-a"}) for shard in SHARDS}
     groups = planner.regroup(tried, plan, repeat, 0.1)
@@ -88,9 +88,9 @@
     "outcome", [Outcome.NOT_RUN, Outcome.FAILED, Outcome.NOT_SENT, Outcome.ELSEWHERE]
 )
 def test_whole_query_keeps_to_the_homes(homes: frozenset[str], outcome: Outcome) -> None:
-    """Every send fails, every peer is silent: nothing is left to try but what is outside."""
-    board = make_board()
-    planner = make_planner(board)
+    """Every request fails and no peer responds, so that only targets outside are left to try."""
+    selector = make_selector()
+    planner = make_planner(selector)
     route = homed(homes)
     plan = GatherPlan(
         route,
@@ -103,7 +103,7 @@
         1.0,
         False,
     )
-    gather = Gather(plan, board, make_budget(), planner)
+    gather = Gather(plan, selector, make_budget(), planner)
     commands = gather.start(0.0)
     now = 0.0
     while commands or not gather.ended:
@@ -114,8 +114,8 @@
         commands = []
         for command in sent:
             end = TargetResult(outcome, None, b"", None, "")
-            board.sent(command.target, command.token, route, now)
-            board.ended(command.target, command.token, outcome, None, now)
+            selector.sent(command.target, command.token, route, now)
+            selector.ended(command.target, command.token, outcome, None, now)
             commands += gather.part_ended(command.token, end, None, now)
         if not sent and not gather.ended:
             now = max(now + 0.001, gather.next_wake())
@@ -126,42 +126,42 @@
 @pytest.mark.parametrize(
     ("places", "homes", "reason"),
     [
-        pytest.param(PLACES, {"nowhere"}, Lack.HOMES, id="home-without-targets"),
-        pytest.param((HERE, BESIDE), {"there"}, Lack.HOMES, id="targets-elsewhere-only"),
-        pytest.param((), {"here"}, Lack.UNKNOWN, id="no-targets"),
+        pytest.param(PLACES, {"nowhere"}, NoTargetReason.HOMES, id="home-without-targets"),
+        pytest.param((HERE, BESIDE), {"there"}, NoTargetReason.HOMES, id="targets-elsewhere-only"),
+        pytest.param((), {"here"}, NoTargetReason.UNKNOWN, id="no-targets"),
     ],
 )
 def test_request_without_a_home_is_refused_at_once(
-    places: tuple[Place, ...], homes: set[str], reason: Lack
+    places: tuple[Place, ...], homes: set[str], reason: NoTargetReason
 ) -> None:
-    board = make_board(places)
+    selector = make_selector(places)
     route = homed(frozenset(homes))
-    single = Single(SinglePlan(route, "s0", True, 3, 0.19, 1.0), board, make_budget())
+    single = Single(SinglePlan(route, "s0", True, 3, 0.19, 1.0), selector, make_budget())
     assert single.start(0.0) == [SingleFailed(False, False, reason.value)]
     plan = GatherPlan(route, SHARDS, 3, (), 0.8, 2, 0.19, 1.0, False)
-    (failed,) = Gather(plan, board, make_budget(), make_planner(board)).start(0.0)
+    (failed,) = Gather(plan, selector, make_budget(), make_planner(selector)).start(0.0)
     assert isinstance(failed, GatherFailed)
     assert (failed.ran, failed.late) == (False, False)
     assert reason.value in failed.lacking
 
 
 def test_evacuated_home_is_refused_and_named() -> None:
-    board = Board(HERE, seed=1)
+    selector = TargetSelector(HERE, seed=1)
     barred = target("a", "s0", HERE, leaving=True)
-    board.set_targets({"s0": (barred, target("b", "s0", THERE))}, 0.0)
-    single = Single(SinglePlan(homed(HOMES[0]), "s0", True, 3, 0.19, 1.0), board, make_budget())
-    assert single.start(0.0) == [SingleFailed(False, False, Lack.BARRED.value)]
+    selector.set_targets({"s0": (barred, target("b", "s0", THERE))}, 0.0)
+    single = Single(SinglePlan(homed(HOMES[0]), "s0", True, 3, 0.19, 1.0), selector, make_budget())
+    assert single.start(0.0) == [SingleFailed(False, False, NoTargetReason.BARRED.value)]
 
 
 def test_request_that_runs_once_keeps_to_its_home() -> None:
-    board = make_board()
-    single = Single(SinglePlan(homed(HOMES[1]), "s0", False, 3, 0.19, 1.0), board, make_budget())
+    selector = make_selector()
+    single = Single(SinglePlan(homed(HOMES[1]), "s0", False, 3, 0.19, 1.0), selector, make_budget())
     (sent,) = single.start(0.0)
     assert isinstance(sent, SendSingle)
     assert sent.target.place == THERE
 
 
-def test_peer_is_told_the_homes() -> None:
+def test_homes_are_sent_to_peers() -> None:
     codec = Codec(RELAY_MESSAGES)
     forward = GroupForward(
         "1", "id", "h", "/", b"GET", b"/", [], b"", "r", ["s0"], 3, 1, 1.0, 1.0, 1.0, 1.0, False,
--- a/tests/relay/test_lives.py
+++ b/tests/relay/test_incarnations.py
@@ -1,8 +1,8 @@
-"""A target that starts again under its name holds and knows nothing of before.
+"""Restarted targets: what was learned of one incarnation does not affect the next one.
 
-The load: targets crash and come back within seconds under the names that they had. What was
-believed of the earlier life would keep a new one out of use for up to half a minute (`GONE_S`), or
-take it for slow for seconds.
+Targets crash and return within seconds under the same name. Failures recorded for the earlier
+incarnation would otherwise eject the new one for up to half a minute (`REPLACED_EJECT_S`), or let
+it count as slow for seconds.
 """
 
 import itertools
@@ -12,59 +12,59 @@
 from tests.relay.conftest import HERE, ROUTE, target
 from trackwheel.directory.models import EntryRemoved, TargetEntry, TargetsPush, TargetsRead
 from trackwheel.directory.targets import TargetDirectory
-from trackwheel.relay.board import Board
+from trackwheel.relay.down_reports import DownReports, TargetDown
 from trackwheel.relay.models import Load, Outcome
-from trackwheel.relay.news import TargetDown, TargetNews
+from trackwheel.relay.target_selector import TargetSelector
 
 FIRST = target("t", "s")._replace(born_ms=1_000)
 SECOND = FIRST._replace(born_ms=9_000)
 
 
-def make_board() -> Board:
-    board = Board(HERE, 1)
-    board.set_targets({"s": (FIRST,)}, 0.0)
-    return board
+def make_selector() -> TargetSelector:
+    selector = TargetSelector(HERE, 1)
+    selector.set_targets({"s": (FIRST,)}, 0.0)
+    return selector
 
 
-def fail(board: Board, outcome: Outcome) -> None:
+def fail(selector: TargetSelector, outcome: Outcome) -> None:
     for number in range(4):
-        board.sent(FIRST, number, ROUTE, 0.0)
-        board.ended(FIRST, number, outcome, Load(2, 12, 2), 0.01)
+        selector.sent(FIRST, number, ROUTE, 0.0)
+        selector.ended(FIRST, number, outcome, Load(2, 12, 2), 0.01)
 
 
 @pytest.mark.parametrize("outcome", [o for o in Outcome if o is not Outcome.OK])
-def test_failures_of_the_earlier_life_end_with_it(outcome: Outcome) -> None:
-    board = make_board()
-    fail(board, outcome)
-    board.set_targets({"s": (SECOND,)}, 0.02)
-    (choice,) = board.rank("s", ROUTE, 0.02)
+def test_failures_of_an_earlier_incarnation_do_not_count(outcome: Outcome) -> None:
+    selector = make_selector()
+    fail(selector, outcome)
+    selector.set_targets({"s": (SECOND,)}, 0.02)
+    (choice,) = selector.rank("s", ROUTE, 0.02)
     assert not choice.last_resort
     assert choice.rests_until <= 0.02
     assert choice.expected_s == pytest.approx(choice.usual_s)
 
 
-def test_answer_of_the_earlier_life_that_comes_late_says_nothing_of_the_new_one() -> None:
-    board = make_board()
-    board.sent(FIRST, "old", ROUTE, 0.0)
-    board.set_targets({"s": (SECOND,)}, 0.02)
+def test_late_answer_of_an_earlier_incarnation_does_not_affect_the_new_one() -> None:
+    selector = make_selector()
+    selector.sent(FIRST, "old", ROUTE, 0.0)
+    selector.set_targets({"s": (SECOND,)}, 0.02)
     for number in range(4):
-        board.ended(FIRST, number if number else "old", Outcome.ELSEWHERE, None, 0.03)
-    (choice,) = board.rank("s", ROUTE, 0.03)
+        selector.ended(FIRST, number if number else "old", Outcome.ELSEWHERE, None, 0.03)
+    (choice,) = selector.rank("s", ROUTE, 0.03)
     assert not choice.last_resort
 
 
-@pytest.mark.parametrize("known_first", [True, False], ids=["entry-first", "news-first"])
-def test_news_of_the_earlier_life_say_nothing_of_the_new_one(known_first: bool) -> None:
-    board = make_board()
-    news = TargetNews(board)
+@pytest.mark.parametrize("known_first", [True, False], ids=["entry-first", "reports-first"])
+def test_reports_on_an_earlier_incarnation_do_not_affect_the_new_one(known_first: bool) -> None:
+    selector = make_selector()
+    reports = DownReports(selector)
     if known_first:
-        board.set_targets({"s": (SECOND,)}, 0.0)
-    news.told("a", TargetDown("t", 0.0, FIRST.born_ms), 0.1)
-    board.set_targets({"s": (SECOND,)}, 0.1)
-    (choice,) = board.rank("s", ROUTE, 0.2)
+        selector.set_targets({"s": (SECOND,)}, 0.0)
+    reports.receive("a", TargetDown("t", 0.0, FIRST.born_ms), 0.1)
+    selector.set_targets({"s": (SECOND,)}, 0.1)
+    (choice,) = selector.rank("s", ROUTE, 0.2)
     assert not choice.last_resort
-    assert news.told("a", TargetDown("t", 0.0, SECOND.born_ms), 0.2)
-    (choice,) = board.rank("s", ROUTE, 0.2)
+    assert reports.receive("a", TargetDown("t", 0.0, SECOND.born_ms), 0.2)
+    (choice,) = selector.rank("s", ROUTE, 0.2)
     assert choice.last_resort
 
 
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(4))), ids=str)
-def test_newest_life_is_known_in_any_order_of_news(order: tuple[int, ...]) -> None:
+def test_newest_incarnation_wins_in_any_order_of_updates(order: tuple[int, ...]) -> None:
     directory = TargetDirectory({"a": "here"})
     for place in order:
         directory.apply(STEPS[place], 0.0)
@@ -91,8 +91,8 @@
     assert found.cold_until >= 2.0
 
 
-def test_life_that_follows_without_a_gap_is_news_for_peers() -> None:
-    """The store saw no lapse: only `born` says that the target started again."""
+def test_restart_without_a_lapse_is_sent_to_peers() -> None:
+    """The store's entry did not lapse: only `born` shows that the target restarted."""
     directory = TargetDirectory({"a": "here"})
     directory.apply(TargetsRead(None, [entry(1_000, 4)], [], 4), 0.0)
     assert directory.apply(TargetsRead(4, [entry(9_000, 5)], [], 5), 1.0)
@@ -104,7 +104,7 @@
     [(0.0, False), (1.9, False), (2.3, False), (3.0, True)],
     ids=["warm", "counts-down", "a-late-heartbeat", "cold-again"],
 )
-def test_target_that_turns_cold_again_is_news(cold_s: float, is_news: bool) -> None:
+def test_target_that_becomes_cold_again_is_a_change(cold_s: float, is_news: bool) -> None:
     directory = TargetDirectory({"a": "here"})
     directory.apply(TargetsRead(None, [entry(1_000, 4, cold_s=3.0)], [], 4), 0.0)
     assert directory.apply(TargetsRead(4, [entry(1_000, 5, cold_s)], [], 5), 1.0) is is_news
--- a/trackwheel/app.py
+++ b/trackwheel/app.py
@@ -196,7 +196,7 @@
         self.quarantine.set_boxes(
             self.fleet.domain_peers(),
             self.fleet.remote_watchers(),
-            tells_again=self.fleet.is_watcher(),
+            rebroadcasts=self.fleet.is_watcher(),
         )
 
     def _take_notes(self, notes: tuple[LeavingTarget, ...]) -> None:
--- a/trackwheel/dispatch/guard.py
+++ b/trackwheel/dispatch/guard.py
@@ -34,7 +34,7 @@
 
     def retry_after_s(self, request: bytes) -> float:
         """Return the delay before a request may be sent (seconds), 0 if it is not held."""
-        return self._quarantine.waits_s(request)
+        return self._quarantine.retry_after_s(request)
 
     def record_boot(self, target: str, boot: str) -> None:
         """Record the boot that a target reported."""
@@ -45,16 +45,16 @@
         """Record the reply of a target to a request."""
         self.record_boot(work.target, reply.boot)
         if outcome is Outcome.OK:
-            self._quarantine.answered(_fingerprint(work))
+            self._quarantine.request_answered(_fingerprint(work))
 
     def record_failure(self, work: Work, error: Exception) -> None:
         """Record a request that got no reply."""
         life = f"{work.target} {self._boot_by_target.get(work.target, '')}", 0
         match error:
             case TargetClosedError():
-                self._quarantine.closed(_fingerprint(work), life)
+                self._quarantine.connection_closed(_fingerprint(work), life)
             case TargetUnreachableError():
-                self._quarantine.refused(life)
+                self._quarantine.connection_refused(life)
 
 
 def _fingerprint(work: Work) -> bytes:
--- a/trackwheel/entry/figures.py
+++ b/trackwheel/entry/figures.py
@@ -8,7 +8,7 @@
 from trackwheel.peers.hub import Hub
 from trackwheel.platform.load import LoadReader
 from trackwheel.quarantine.service import Quarantine
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.service import RelayService
 from trackwheel.relay.transport import TargetTransport
 from trackwheel.telemetry.events import EventLog
@@ -22,7 +22,7 @@
     transport: TargetTransport
     directory: DirectoryService
     fleet: FleetService
-    budget: RepeatBudget
+    budget: RetryBudget
     loads: LoadReader
     hub: Hub
     quarantine: Quarantine
@@ -74,7 +74,7 @@
         (
             "requests_held",
             "Requests that are kept from targets since targets end under them",
-            lambda: float(box.quarantine.held),
+            lambda: float(box.quarantine.held_count),
         ),
         ("peer_bytes", "Bytes sent to boxes", lambda: float(box.hub.bytes_sent)),
         ("under_way", "Requests under way", lambda: float(box.clients.busy)),
--- a/trackwheel/relay/handing.py
+++ b/trackwheel/relay/group_delegator.py
@@ -1,36 +1,36 @@
-"""Handing shards of one query to peers: which ones, with how many attempts, without I/O."""
+"""Delegation of one query's shards to peers, with their share of the attempts, without I/O."""
 
 from collections.abc import Sequence
 
-from trackwheel.relay.board import Board
 from trackwheel.relay.delegated import DelegatedGroup, DelegatedGroups
 from trackwheel.relay.gather_models import GatherPlan, GroupPlan, Regrouper, SendGroup
 from trackwheel.relay.models import SendPermission
 from trackwheel.relay.parts import ReceivedParts
 from trackwheel.relay.shards import ShardTracker
+from trackwheel.relay.target_selector import TargetSelector
 
 
-class GroupHanding:
-    """Hand groups of shards over, and know which shards are left to which peer."""
+class GroupDelegator:
+    """Delegates groups of shards and tracks which shards each peer still has."""
 
     def __init__(
         self,
         plan: GatherPlan,
-        board: Board,
+        selector: TargetSelector,
         shards: ShardTracker,
         groups: DelegatedGroups,
         parts: ReceivedParts,
         regrouper: Regrouper | None,
     ) -> None:
         self._plan = plan
-        self._board = board
+        self._selector = selector
         self._shards = shards
         self._groups = groups
         self._parts = parts
         self._regrouper = regrouper
 
-    def hand_over(self, group: GroupPlan) -> SendGroup:
-        """Leave a group to a peer: a first one with all attempts but one, a repeat with one."""
+    def delegate(self, group: GroupPlan) -> SendGroup:
+        """Delegate a group: a first one with all attempts but one, a repeat with one attempt."""
         handed = DelegatedGroup(group, self._max_missing_of(group))
         number = self._groups.add(handed)
         if not group.repeat:
@@ -39,16 +39,16 @@
             shard = self._shards[name]
             shard.groups.add(number)
             self._shards.mark_asked(name)
-            beside = {t.instance for t in self._board.targets(name) if t.place == group.place}
+            local = {t.instance for t in self._selector.targets(name) if t.place == group.place}
             if group.repeat:
-                shard.attempts.delegate_repeat(beside)
+                shard.attempts.delegate_repeat(local)
             else:
-                shard.attempts.delegate(self._plan.peer_attempts, beside)
+                shard.attempts.delegate(self._plan.peer_attempts, local)
         floor = self._parts.floor() if group.repeat else b""
         return SendGroup(number, group, floor, handed.least_coverage)
 
-    def hand_elsewhere(self, names: Sequence[str], repeat: bool, now: float) -> list[SendGroup]:
-        """Hand shards to peers beside targets that were not tried, where the query may go there."""
+    def delegate_elsewhere(self, names: Sequence[str], repeat: bool, now: float) -> list[SendGroup]:
+        """Delegate shards to peers near targets not tried yet, if the gate lets the query pass."""
         tried_by_shard = {
             name: self._shards[name].attempts.tried
             for name in names
@@ -59,14 +59,14 @@
         if self._plan.gate.permission(now) is not SendPermission.OPEN:
             return []
         groups = self._regrouper.regroup(tried_by_shard, self._plan, repeat, now)
-        return [self.hand_over(group) for group in groups]
+        return [self.delegate(group) for group in groups]
 
-    def shards_of(self, number: int) -> list[str]:
-        """Return the shards that are left to a peer."""
+    def pending_shards(self, number: int) -> list[str]:
+        """Return the shards of a group that its peer still has."""
         return self._shards.in_group(self._groups[number].plan.shards, number)
 
     def _max_missing_of(self, group: GroupPlan) -> int:
-        """Return how many shards of a group its peer may leave out: a part of what may lack."""
+        """Return how many shards of a group may be missing, in proportion to its size."""
         if group.repeat:
             return 0
         return self._shards.max_missing * len(group.shards) // len(self._plan.shards)
--- a/trackwheel/relay/response_times.py
+++ b/trackwheel/relay/response_times.py
@@ -2,14 +2,18 @@
 
 from collections import deque
 
-from trackwheel.relay.const import FIRST_PACE_SHARE, PACE_REFRESH, PACE_SAMPLES
+from trackwheel.relay.const import (
+    INITIAL_RESPONSE_TIME_SHARE,
+    RESPONSE_TIME_REFRESH_SAMPLES,
+    RESPONSE_TIME_SAMPLES,
+)
 
 
 class MedianResponseTime:
     """Median of the last response times (seconds)."""
 
     def __init__(self, first_guess_s: float) -> None:
-        self._samples: deque[float] = deque(maxlen=PACE_SAMPLES)
+        self._samples: deque[float] = deque(maxlen=RESPONSE_TIME_SAMPLES)
         self._new = 0
         self.usual_s = first_guess_s
 
@@ -17,7 +21,10 @@
         """Add the response time of one successful answer."""
         self._samples.append(duration_s)
         self._new += 1
-        if self._new >= PACE_REFRESH or len(self._samples) < PACE_REFRESH:
+        if (
+            self._new >= RESPONSE_TIME_REFRESH_SAMPLES
+            or len(self._samples) < RESPONSE_TIME_REFRESH_SAMPLES
+        ):
             self._new = 0
             ordered = sorted(self._samples)
             self.usual_s = ordered[len(ordered) // 2]
@@ -34,6 +41,6 @@
         median = self._median_by_key.get((route, far))
         if median is None:
             median = self._median_by_key[(route, far)] = MedianResponseTime(
-                aim_s * FIRST_PACE_SHARE
+                aim_s * INITIAL_RESPONSE_TIME_SHARE
             )
         return median
--- a/trackwheel/relay/single.py
+++ b/trackwheel/relay/single.py
@@ -8,9 +8,9 @@
 
 from trackwheel.http1.models import Response
 from trackwheel.relay.attempts import NEVER, Attempts, Refusal, hedge_time
-from trackwheel.relay.board import Board
-from trackwheel.relay.budget import RepeatBudget
+from trackwheel.relay.budget import RetryBudget
 from trackwheel.relay.models import OPEN_GATE, Outcome, RouteKey, SendGate, Target, TargetResult
+from trackwheel.relay.target_selector import TargetSelector
 
 
 class SinglePlan(NamedTuple):
@@ -63,9 +63,9 @@
 class Single:
     """State machine of one request: takes events and the time, returns commands."""
 
-    def __init__(self, plan: SinglePlan, board: Board, budget: RepeatBudget) -> None:
+    def __init__(self, plan: SinglePlan, selector: TargetSelector, budget: RetryBudget) -> None:
         self.plan = plan
-        self._board = board
+        self._selector = selector
         self._budget = budget
         self._attempts = Attempts(plan.service, plan.max_attempts, gate=plan.gate)
         self._next_token = 0
@@ -78,7 +78,7 @@
     def start(self, now: float) -> list[SingleCommand]:
         """Send the request to the best target."""
         if not self._ask("first", now) and not self._wait_for_backoff(now):
-            lack = self._board.lack(self.plan.service, self.plan.route, now)
+            lack = self._selector.no_target_reason(self.plan.service, self.plan.route, now)
             self._fail(lack.value, False)
         return self._take_commands()
 
@@ -137,7 +137,7 @@
         """Send the request to one more target; return False if none may be asked."""
         if now >= self.plan.end_at:
             return False
-        choices = self._attempts.choose(self._board, self._budget, self.plan.route, now)
+        choices = self._attempts.choose(self._selector, self._budget, self.plan.route, now)
         if isinstance(choices, Refusal):
             return False
         token = self._next_token
