--- a/tests/peers/test_certified.py
+++ b/tests/peers/test_certificate.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from trackwheel.peers.certified import PeerCertificate, is_certified
+from trackwheel.peers.certificate import PeerCertificate, is_certified
 from trackwheel.peers.models import PeerIdentity
 
 BOX = PeerIdentity("box-1", "boot", "10.0.0.1:8200", "here", "here-a")
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -603,7 +603,7 @@
         MEMBERSHIP,
         "a box with a sound certificate calls itself another one",
         TLS + "test_box_may_not_call_itself_another",
-        Mutant("trackwheel/peers/certified.py", "identity.box_id not in names", "False"),
+        Mutant("trackwheel/peers/certificate.py", "identity.box_id not in names", "False"),
     ),
     Row(
         FLEET,
--- a/trackwheel/peers/hub.py
+++ b/trackwheel/peers/hub.py
@@ -15,7 +15,7 @@
 
 from trackwheel.clock import steady_now
 from trackwheel.http1.sockets import watch_for_silence
-from trackwheel.peers.certified import is_certified
+from trackwheel.peers.certificate import is_certified
 from trackwheel.peers.codec import Codec, Message
 from trackwheel.peers.const import (
     CLOSE_CODE_REFUSED,
