--- a/tests/peers/test_certificate.py
+++ b/tests/peers/test_certificate.py
@@ -1,8 +1,8 @@
-"""A peer is taken for the box that its certificate names, and for no other."""
+"""Matching of a peer's identity against its certificate."""
 
 import pytest
 
-from trackwheel.peers.certificate import PeerCertificate, is_certified
+from trackwheel.peers.certificate import PeerCertificate, certificate_matches
 from trackwheel.peers.models import PeerIdentity
 
 BOX = PeerIdentity("box-1", "boot", "10.0.0.1:8200", "here", "here-a")
@@ -16,15 +16,15 @@
 
 
 @pytest.mark.parametrize(
-    ("shown", "expected"),
+    ("presented", "expected"),
     [
-        pytest.param(certificate("box-1"), True, id="own-name"),
-        pytest.param(certificate("box-1", "10.0.0.1", "10.0.0.9"), True, id="own-address"),
-        pytest.param(certificate("box-2", "10.0.0.1"), False, id="another-box"),
-        pytest.param(certificate("box-1", "10.0.0.2"), False, id="another-address"),
-        pytest.param({}, False, id="says-nothing"),
-        pytest.param(None, False, id="none-shown"),
+        pytest.param(certificate("box-1"), True, id="matching-name"),
+        pytest.param(certificate("box-1", "10.0.0.1", "10.0.0.9"), True, id="matching-address"),
+        pytest.param(certificate("box-2", "10.0.0.1"), False, id="other-name"),
+        pytest.param(certificate("box-1", "10.0.0.2"), False, id="other-address"),
+        pytest.param({}, False, id="empty"),
+        pytest.param(None, False, id="no-certificate"),
     ],
 )
-def test_certificate_makes_the_box(shown: PeerCertificate | None, expected: bool) -> None:
-    assert is_certified(BOX, shown) is expected
+def test_certificate_must_match_identity(presented: PeerCertificate | None, expected: bool) -> None:
+    assert certificate_matches(BOX, presented) is expected
--- a/tests/peers/test_hub.py
+++ b/tests/peers/test_hub.py
@@ -1,4 +1,4 @@
-"""Links that fall silent."""
+"""Links to unresponsive peers and to invalid addresses."""
 
 import asyncio
 import socket
@@ -8,13 +8,13 @@
 
 from trackwheel.http1.sockets import watch_for_silence
 from trackwheel.peers.codec import Codec
-from trackwheel.peers.const import LINK_UNACKNOWLEDGED_MS
+from trackwheel.peers.const import LINK_USER_TIMEOUT_MS
 from trackwheel.peers.hub import Hub
 from trackwheel.peers.models import PeerIdentity
 
 
 class NoTls:
-    """Links without TLS."""
+    """TLS contexts of a hub without TLS."""
 
     server = None
     client = None
@@ -29,15 +29,19 @@
 
 
 def test_link_that_is_not_acknowledged_breaks(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two boxes counted each other as dead for good, and sent into the same silent link."""
-    bounds: list[int] = []
+    """Each link has a TCP user timeout.
 
-    def watch(transport: asyncio.BaseTransport, unacknowledged_ms: int) -> None:
+    Without one, two boxes kept sending over a silently broken link and regarded each other as
+    dead indefinitely.
+    """
+    user_timeouts: list[int] = []
+
+    def record_user_timeout(transport: asyncio.BaseTransport, unacknowledged_ms: int) -> None:
         watch_for_silence(transport, unacknowledged_ms)
         sock = transport.get_extra_info("socket")
-        bounds.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT))
+        user_timeouts.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT))
 
-    monkeypatch.setattr("trackwheel.peers.hub.watch_for_silence", watch)
+    monkeypatch.setattr("trackwheel.peers.hub.watch_for_silence", record_user_timeout)
 
     async def scenario() -> None:
         hubs = [make_hub("box-1"), make_hub("box-2")]
@@ -53,7 +57,7 @@
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
-    assert bounds == [LINK_UNACKNOWLEDGED_MS, LINK_UNACKNOWLEDGED_MS]
+    assert user_timeouts == [LINK_USER_TIMEOUT_MS, LINK_USER_TIMEOUT_MS]
 
 
 @pytest.mark.parametrize(
@@ -66,7 +70,7 @@
     ],
 )
 def test_message_to_an_invalid_address_does_not_end_the_hub(address: str) -> None:
-    """A box crashed when it sent to a box without a valid address."""
+    """An invalid address in a peer's record once crashed the box that sent to it."""
     lost: list[str] = []
 
     async def scenario() -> None:
--- a/tests/peers/test_link.py
+++ b/tests/peers/test_link.py
@@ -1,4 +1,4 @@
-"""Links: frames stay within their limit, whatever waits to be sent."""
+"""Messages on a link: splitting into frames within the size limit."""
 
 import anyio
 import pytest
@@ -23,13 +23,13 @@
 @pytest.mark.parametrize(
     ("sizes", "frames"),
     [
-        pytest.param([10, 10, 10], 1, id="small-ones-together"),
-        pytest.param([600, 600], 2, id="two-that-do-not-fit-together"),
-        pytest.param([700, 10, 10, 700], 2, id="halves"),
-        pytest.param([900] * 5, 5, id="each-by-itself"),
+        pytest.param([10, 10, 10], 1, id="one-frame"),
+        pytest.param([600, 600], 2, id="one-message-per-frame"),
+        pytest.param([700, 10, 10, 700], 2, id="split-in-half"),
+        pytest.param([900] * 5, 5, id="split-repeatedly"),
     ],
 )
-def test_messages_are_spread_over_frames(sizes: list[int], frames: int) -> None:
+def test_messages_are_split_into_frames(sizes: list[int], frames: int) -> None:
     messages = [answer(nonce, size) for nonce, size in enumerate(sizes)]
     encoded = CODEC.encode_frames(messages, 1000)
     assert len(encoded) == frames
@@ -37,13 +37,13 @@
     assert [message for frame in encoded for message in CODEC.decode(frame, "peer")] == messages
 
 
-def test_message_that_fits_no_frame_is_an_error() -> None:
+def test_encoding_an_oversized_message_fails() -> None:
     with pytest.raises(FrameError, match="SubAnswer"):
         CODEC.encode_frames([answer(0, 2000)], 1000)
 
 
-class Taken:
-    """Take messages from a link."""
+class RecordingReceiver:
+    """Record the nonces of received messages."""
 
     def __init__(self) -> None:
         self.nonces: list[int] = []
@@ -53,12 +53,12 @@
         self.nonces.append(message.nonce)
 
 
-async def carry(messages: list[SubAnswer], expected: int) -> list[int]:
-    """Send messages through a real link and return the nonces that arrive."""
-    taken = Taken()
+async def send_over_link(messages: list[SubAnswer], expected: int) -> list[int]:
+    """Send messages over a WebSocket and return the nonces received."""
+    receiver = RecordingReceiver()
 
     async def accept(socket: ServerConnection) -> None:
-        await run_link(socket, PEER, Outbox(), CODEC, taken)
+        await run_link(socket, PEER, Outbox(), CODEC, receiver)
 
     outbox = Outbox()
     for message in messages:
@@ -67,20 +67,20 @@
         port = next(iter(server.sockets)).getsockname()[1]
         url = f"ws://127.0.0.1:{port}/"
         async with connect(url, proxy=None) as socket, anyio.create_task_group() as tasks:
-            tasks.start_soon(run_link, socket, PEER, outbox, CODEC, Taken())
+            tasks.start_soon(run_link, socket, PEER, outbox, CODEC, RecordingReceiver())
             with anyio.move_on_after(20.0):
-                while len(taken.nonces) < expected:
+                while len(receiver.nonces) < expected:
                     await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
-    return taken.nonces
+    return receiver.nonces
 
 
-def test_link_outlives_large_answers_that_wait_together() -> None:
-    """Six answers of 4 MB, which a target may give, would make one frame of 24 MB."""
+def test_large_queued_answers_are_sent_in_separate_frames() -> None:
+    """Six queued answers of 4 MB, each within the limit for targets, exceed one frame's limit."""
     messages = [answer(nonce, 4_000_000) for nonce in range(6)]
-    assert anyio.run(carry, messages, 6) == [0, 1, 2, 3, 4, 5]
+    assert anyio.run(send_over_link, messages, 6) == [0, 1, 2, 3, 4, 5]
 
 
-def test_link_outlives_a_message_that_fits_no_frame() -> None:
+def test_oversized_message_does_not_close_the_link() -> None:
     messages = [answer(0, 10), answer(1, MAX_FRAME_BYTES), answer(2, 10)]
-    assert anyio.run(carry, messages, 2) == [0, 2]
+    assert anyio.run(send_over_link, messages, 2) == [0, 2]
--- a/trackwheel/peers/__init__.py
+++ b/trackwheel/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Links between boxes: typed messages in CBOR over websockets, several to a frame."""
+"""Connections between boxes: typed CBOR messages over WebSockets, batched into frames."""
--- a/trackwheel/peers/certificate.py
+++ b/trackwheel/peers/certificate.py
@@ -1,4 +1,4 @@
-"""Whether a peer is the box that it says it is, by the certificate that it showed."""
+"""Check of a peer's identity against its TLS certificate."""
 
 from typing import TypedDict
 
@@ -10,14 +10,14 @@
 
 
 class PeerCertificate(TypedDict, total=False):
-    """Name the fields of a checked certificate that are looked at."""
+    """The fields used of a verified certificate, as returned by `ssl.SSLSocket.getpeercert`."""
 
     subject: tuple[tuple[tuple[str, str], ...], ...]
     subjectAltName: tuple[tuple[str, str], ...]  # noqa: N815
 
 
-def is_certified(identity: PeerIdentity, certificate: PeerCertificate | None) -> bool:
-    """Return whether a certificate is for a box's id and, where it names IPs, for its address."""
+def certificate_matches(identity: PeerIdentity, certificate: PeerCertificate | None) -> bool:
+    """Return whether the common name is the box's id and any listed IPs include its address."""
     if not certificate:
         return False
     names = {
--- a/trackwheel/peers/errors.py
+++ b/trackwheel/peers/errors.py
@@ -4,4 +4,4 @@
 
 
 class FrameError(TrackwheelError):
-    """Say that a frame from a peer could not be read."""
+    """A frame could not be encoded, or one from a peer could not be decoded."""
--- a/trackwheel/peers/hub.py
+++ b/trackwheel/peers/hub.py
@@ -1,4 +1,4 @@
-"""All links of one box: it takes links from peers and opens its own when there is work."""
+"""The links of one box: accepts links from peers and opens its own on demand."""
 
 import ssl
 from collections.abc import Callable
@@ -15,13 +15,13 @@
 
 from trackwheel.clock import steady_now
 from trackwheel.http1.sockets import watch_for_silence
-from trackwheel.peers.certificate import is_certified
+from trackwheel.peers.certificate import certificate_matches
 from trackwheel.peers.codec import Codec, Message
 from trackwheel.peers.const import (
     CLOSE_CODE_REFUSED,
     CLOSE_TIMEOUT_S,
     CONNECT_TIMEOUT_S,
-    LINK_UNACKNOWLEDGED_MS,
+    LINK_USER_TIMEOUT_MS,
     MAX_FRAME_BYTES,
     PROTOCOL_VERSION,
     RECONNECT_DELAY_S,
@@ -34,19 +34,19 @@
 
 
 class Tls(Protocol):
-    """Give the contexts for links; they may be other ones from one link to the next."""
+    """Provide the SSL contexts for links; they may change between two links."""
 
     @property
     def server(self) -> ssl.SSLContext | None:
-        """Return the context for links that are taken, None without TLS."""
+        """Return the context for accepted links, None without TLS."""
 
     @property
     def client(self) -> ssl.SSLContext | None:
-        """Return the context for links that are opened, None without TLS."""
+        """Return the context for outgoing links, None without TLS."""
 
 
 class Hub:
-    """Send messages to boxes by address and hand arriving ones to the duties."""
+    """Send messages to boxes by address and dispatch received ones to registered handlers."""
 
     def __init__(self, identity: PeerIdentity, codec: Codec, tls: Tls) -> None:
         self.identity = identity
@@ -54,36 +54,36 @@
         self._tls = tls
         self._handler_by_type: dict[type[Any], Handler] = {}
         self._outbox_by_address: dict[str, Outbox] = {}
-        self._closed_until_by_address: dict[str, float] = {}
+        self._retry_at_by_address: dict[str, float] = {}
         self._link_count_by_address: dict[str, int] = {}
         self._on_link_lost: list[Callable[[str], None]] = []
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._bytes_of_closed_links = 0
+        self._closed_link_bytes = 0
         self.messages_sent = 0
         self.messages_dropped = 0
 
     @property
     def bytes_sent(self) -> int:
-        """Return how many bytes of frames went out."""
+        """Return the number of bytes of all frames sent."""
         open_links = self._outbox_by_address.values()
-        return self._bytes_of_closed_links + sum(outbox.bytes_sent for outbox in open_links)
+        return self._closed_link_bytes + sum(outbox.bytes_sent for outbox in open_links)
 
     def register(self, message_type: type[Any], handler: Handler) -> None:
-        """Hand every arriving message of a type to a handler."""
+        """Register the handler for received messages of a type."""
         self._handler_by_type[message_type] = handler
 
     def on_link_lost(self, handler: Callable[[str], None]) -> None:
-        """Call a handler with a peer's address when the last link to it is gone."""
+        """Call a handler with a peer's address when its last link is closed or cannot be opened."""
         self._on_link_lost.append(handler)
 
     def receive(self, sender: PeerIdentity, message: Message) -> None:
-        """Hand one message to its duty."""
+        """Pass a message to the handler of its type."""
         handler = self._handler_by_type.get(type(message))
         if handler is not None:
             handler(sender, message)
 
     def send(self, address: str, message: Message) -> bool:
-        """Queue a message for a box; return False when it certainly does not go out."""
+        """Queue a message for a box; return False if it was dropped."""
         if address == self.identity.address:
             self.receive(self.identity, message)
             return True
@@ -98,28 +98,28 @@
         return False
 
     def open(self, address: str) -> None:
-        """Open a link to a box before there is work for it."""
+        """Open a link to a box before the first message to it."""
         if address != self.identity.address:
             self._outbox(address)
 
     def is_linked(self, address: str) -> bool:
-        """Return whether a link to a box stands, so that a message needs one way and no more."""
+        """Return whether a link to a box is open, so that a message needs no handshake first."""
         return address in self._link_count_by_address
 
     def _outbox(self, address: str) -> Outbox | None:
-        """Return what carries messages to a box; None shortly after a link could not be opened."""
+        """Return the outbox of a box, opening a link if needed; None during the reconnect delay."""
         outbox = self._outbox_by_address.get(address)
         if outbox is not None:
             return outbox
-        if self._closed_until_by_address.get(address, 0.0) > steady_now():
+        if self._retry_at_by_address.get(address, 0.0) > steady_now():
             return None
         outbox = self._outbox_by_address[address] = Outbox()
         assert self._tasks is not None, "the hub is not running"
-        self._tasks.start_soon(self._dial, address, outbox)
+        self._tasks.start_soon(self._connect, address, outbox)
         return outbox
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
-        """Take links until cancelled."""
+        """Accept links until cancelled."""
         host, port = split_address(self.identity.address)
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
@@ -139,16 +139,16 @@
     async def _accept(self, socket: ServerConnection) -> None:
         try:
             with anyio.fail_after(CONNECT_TIMEOUT_S):
-                peer = await self._greet(socket)
+                peer = await self._handshake(socket)
         except (TimeoutError, ConnectionClosed, OSError):
             return
         if peer is None:
             await socket.close(CLOSE_CODE_REFUSED, "hello not understood")
             return
         outbox = self._outbox_by_address.setdefault(peer.address, Outbox())
-        await self._carry(socket, peer, outbox)
+        await self._serve_link(socket, peer, outbox)
 
-    async def _dial(self, address: str, outbox: Outbox) -> None:
+    async def _connect(self, address: str, outbox: Outbox) -> None:
         scheme = "wss" if self._tls.client else "ws"
         try:
             with anyio.fail_after(CONNECT_TIMEOUT_S):
@@ -161,46 +161,46 @@
                     close_timeout=CLOSE_TIMEOUT_S,
                     proxy=None,
                 )
-                peer = await self._greet(socket)
+                peer = await self._handshake(socket)
         except (TimeoutError, OSError, ConnectionClosed, InvalidHandshake):
-            self._forget(address, outbox)
+            self._drop_peer(address, outbox)
             return
         except (InvalidURI, ValueError) as error:
-            # Addresses come from peers' records too: a bad one must not end this box.
+            # Addresses also come from peers' records: an invalid one must not stop this box.
             LOG.warning(f"Cannot open a link to {address!r}: {error}")
-            self._forget(address, outbox)
+            self._drop_peer(address, outbox)
             return
         if peer is None or peer.address != address:
             await socket.close(CLOSE_CODE_REFUSED, "not the box that was meant")
-            self._forget(address, outbox)
+            self._drop_peer(address, outbox)
             return
-        await self._carry(socket, peer, outbox)
+        await self._serve_link(socket, peer, outbox)
         await socket.close()
 
-    async def _greet(self, socket: Connection) -> PeerIdentity | None:
-        """Exchange hellos; return who is there, or None when it cannot be understood."""
+    async def _handshake(self, socket: Connection) -> PeerIdentity | None:
+        """Exchange hellos; return the peer's identity, or None if it is not accepted."""
         await socket.send(cbor2.dumps(Hello(PROTOCOL_VERSION, self.identity)))
         raw = await socket.recv(decode=False)
         try:
             loaded = cbor2.loads(raw)
             if loaded[0] != PROTOCOL_VERSION:
-                LOG.warning(f"Refused a peer that speaks protocol {loaded[0]!r}.")
+                LOG.warning(f"Refused a peer with protocol version {loaded[0]!r}.")
                 return None
             identity = msgspec.convert(loaded, Hello).identity
         except (ValueError, TypeError, LookupError, cbor2.CBORDecodeError, RecursionError):
             return None
         if self._tls.client is None:
             return identity
-        if is_certified(identity, socket.transport.get_extra_info("peercert")):
+        if certificate_matches(identity, socket.transport.get_extra_info("peercert")):
             return identity
         LOG.warning(
-            f"Refused a peer that calls itself {identity.box_id!r}: its certificate differs."
+            f"Refused a peer that claims to be {identity.box_id!r}: its certificate does not match."
         )
         return None
 
-    async def _carry(self, socket: Connection, peer: PeerIdentity, outbox: Outbox) -> None:
+    async def _serve_link(self, socket: Connection, peer: PeerIdentity, outbox: Outbox) -> None:
         address = peer.address
-        watch_for_silence(socket.transport, LINK_UNACKNOWLEDGED_MS)
+        watch_for_silence(socket.transport, LINK_USER_TIMEOUT_MS)
         self._link_count_by_address[address] = self._link_count_by_address.get(address, 0) + 1
         try:
             await run_link(socket, peer, outbox, self._codec, self)
@@ -208,17 +208,17 @@
             self._link_count_by_address[address] -= 1
             if self._link_count_by_address[address] == 0:
                 del self._link_count_by_address[address]
-                self._forget(address, outbox)
+                self._drop_peer(address, outbox)
 
-    def _forget(self, address: str, outbox: Outbox) -> None:
-        """Drop what waits for a peer whose last link is gone, and tell the duties."""
+    def _drop_peer(self, address: str, outbox: Outbox) -> None:
+        """Drop the queued messages of a peer without links and call the link-lost handlers."""
         if self._link_count_by_address.get(address):
             return
         self.messages_dropped += outbox.clear()
-        self._bytes_of_closed_links += outbox.bytes_sent
+        self._closed_link_bytes += outbox.bytes_sent
         outbox.bytes_sent = 0
         if self._outbox_by_address.get(address) is outbox:
             del self._outbox_by_address[address]
-        self._closed_until_by_address[address] = steady_now() + RECONNECT_DELAY_S
+        self._retry_at_by_address[address] = steady_now() + RECONNECT_DELAY_S
         for handler in self._on_link_lost:
             handler(address)
--- a/trackwheel/peers/link.py
+++ b/trackwheel/peers/link.py
@@ -1,4 +1,4 @@
-"""One link to one peer: an outbox, and a socket that a pair of tasks owns."""
+"""A link to one peer: an outbox, and a reader and a writer task on one WebSocket."""
 
 from collections import deque
 from typing import Protocol
@@ -9,10 +9,10 @@
 
 from trackwheel.peers.codec import Codec, Message
 from trackwheel.peers.const import (
-    CLOSE_CODE_GARBAGE,
+    CLOSE_CODE_INVALID_FRAME,
     MAX_FRAME_BYTES,
-    MAX_FRAME_MESSAGES,
-    MAX_WAITING_MESSAGES,
+    MAX_MESSAGES_PER_FRAME,
+    MAX_QUEUED_MESSAGES,
 )
 from trackwheel.peers.errors import FrameError
 from trackwheel.peers.models import PeerIdentity
@@ -22,52 +22,52 @@
 
 
 class Receiver(Protocol):
-    """Take what arrives over links."""
+    """Receive the messages that arrive over links."""
 
     def receive(self, sender: PeerIdentity, message: Message) -> None:
-        """Take one message; must not block."""
+        """Handle one message; must not block."""
 
 
 class Outbox:
-    """Hold messages for one peer until its link takes them, several at a time."""
+    """Bounded queue of messages to one peer, read in batches by its link."""
 
     def __init__(self) -> None:
-        self._waiting: deque[Message] = deque()
-        self._filled = anyio.Event()
+        self._queue: deque[Message] = deque()
+        self._not_empty = anyio.Event()
         self.bytes_sent = 0
 
     def put(self, message: Message) -> bool:
-        """Add a message; return False when the peer is so far behind that it is dropped."""
-        if len(self._waiting) >= MAX_WAITING_MESSAGES:
+        """Add a message; return False if it was dropped because the queue is full."""
+        if len(self._queue) >= MAX_QUEUED_MESSAGES:
             return False
-        self._waiting.append(message)
-        self._filled.set()
+        self._queue.append(message)
+        self._not_empty.set()
         return True
 
     def clear(self) -> int:
-        """Drop all messages and return how many there were."""
-        dropped = len(self._waiting)
-        self._waiting.clear()
+        """Drop all messages and return their number."""
+        dropped = len(self._queue)
+        self._queue.clear()
         return dropped
 
     async def take(self) -> list[Message]:
-        """Return the messages that wait, at least one."""
-        while not self._waiting:
-            self._filled = anyio.Event()
-            await self._filled.wait()
-        count = min(len(self._waiting), MAX_FRAME_MESSAGES)
-        return [self._waiting.popleft() for _ in range(count)]
+        """Wait for messages and return up to one frame's worth of them."""
+        while not self._queue:
+            self._not_empty = anyio.Event()
+            await self._not_empty.wait()
+        count = min(len(self._queue), MAX_MESSAGES_PER_FRAME)
+        return [self._queue.popleft() for _ in range(count)]
 
 
-def _frames(codec: Codec, messages: list[Message]) -> list[bytes]:
-    """Return the frames for some messages; one that fits no frame is dropped and logged."""
+def _encode_frames(codec: Codec, messages: list[Message]) -> list[bytes]:
+    """Encode messages as frames; log and drop any that exceeds the frame limit."""
     try:
         return codec.encode_frames(messages, MAX_FRAME_BYTES)
     except FrameError as error:
         if len(messages) == 1:
-            LOG.error(f"Dropping a message. {error}")
+            LOG.error(f"Dropped a message that cannot be encoded. {error}")
             return []
-    return [frame for message in messages for frame in _frames(codec, [message])]
+    return [frame for message in messages for frame in _encode_frames(codec, [message])]
 
 
 async def run_link(
@@ -77,11 +77,11 @@
     codec: Codec,
     receiver: Receiver,
 ) -> None:
-    """Carry messages both ways until the link breaks."""
+    """Send and receive messages until the link is closed."""
 
     async def write() -> None:
         while True:
-            for frame in _frames(codec, await outbox.take()):
+            for frame in _encode_frames(codec, await outbox.take()):
                 outbox.bytes_sent += len(frame)
                 await socket.send(frame)
 
@@ -91,16 +91,16 @@
             for message in codec.decode(frame, peer.box_id):
                 receiver.receive(peer, message)
 
-    async def stop_all_after(step: str) -> None:
+    async def run_until_closed(step: str) -> None:
         try:
             await (write() if step == "write" else read())
         except (ConnectionClosed, OSError):
             pass
         except FrameError as error:
-            LOG.warning(f"Closing the link. {error}")
-            await socket.close(CLOSE_CODE_GARBAGE, "frame not understood")
+            LOG.warning(f"Closing the link after an invalid frame. {error}")
+            await socket.close(CLOSE_CODE_INVALID_FRAME, "frame not understood")
         tasks.cancel_scope.cancel()
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(stop_all_after, "write")
-        tasks.start_soon(stop_all_after, "read")
+        tasks.start_soon(run_until_closed, "write")
+        tasks.start_soon(run_until_closed, "read")
--- a/trackwheel/peers/models.py
+++ b/trackwheel/peers/models.py
@@ -1,10 +1,10 @@
-"""Who is at the other end of a link."""
+"""Identification of the peers on a link."""
 
 from typing import NamedTuple
 
 
 class PeerIdentity(NamedTuple):
-    """Name one boot of one box; `address` is where it takes links from peers."""
+    """Identify one boot of one box; `address` is where it accepts links from peers."""
 
     box_id: str
     boot: str
@@ -14,7 +14,7 @@
 
 
 class Hello(NamedTuple):
-    """Open a link: say who one is and which protocol one speaks."""
+    """First message in each direction of a link: protocol version and identity of the sender."""
 
     protocol: int
     identity: PeerIdentity
