--- a/tests/http1/conftest.py
+++ b/tests/http1/conftest.py
@@ -35,7 +35,7 @@
         def gone() -> None:
             self.gone += 1
 
-        exchange.on_gone = gone
+        exchange.on_disconnect = gone
 
     async def __aenter__(self) -> "Served":
         loop = asyncio.get_running_loop()
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.http1.conftest import Run
-from trackwheel.http1.models import EndKind, ExchangeEnd, Request, Response, header
+from trackwheel.http1.models import ExchangeOutcome, ExchangeResult, Request, Response, header
 from trackwheel.http1.pool import Job, TargetPool
 
 REQUEST = Request(b"GET", b"/a", ((b"host", b"h"), (b"x-id", b"7")), b"", 0.0)
@@ -76,8 +76,8 @@
 
 async def exchange(
     pool: TargetPool, once: bool = False, request: Request = REQUEST, request_id: str = ""
-) -> ExchangeEnd:
-    future: asyncio.Future[ExchangeEnd] = asyncio.get_running_loop().create_future()
+) -> ExchangeResult:
+    future: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
     request_id = request_id or f"any-{next(NUMBERS)}"
     pool.submit(Job(object(), request_id, lambda: request, belongs, once, future.set_result))
     return await future
@@ -93,28 +93,39 @@
 @pytest.mark.parametrize(
     ("script", "kind", "connections"),
     [
-        pytest.param(plays(OK, OK), EndKind.ANSWERED, 1, id="kept-connection"),
-        pytest.param(plays(CHUNKED, CHUNKED), EndKind.ANSWERED, 1, id="chunked"),
-        pytest.param(plays(CLOSING, then="end"), EndKind.ANSWERED, 2, id="closing-target"),
-        pytest.param(plays(UNFRAMED, then="end"), EndKind.ANSWERED, 2, id="ends-with-connection"),
-        pytest.param(plays(UNFRAMED, then="reset"), EndKind.BROKEN, 2, id="reset-is-not-an-end"),
-        pytest.param(plays(OK[:-1], then="end"), EndKind.BROKEN, 2, id="cut-short"),
-        pytest.param(plays(OK[:20], then="reset"), EndKind.BROKEN, 2, id="cut-in-the-headers"),
-        pytest.param(plays(b"", then="end"), EndKind.CLOSED, 2, id="closed-without-answer"),
-        pytest.param(plays(b"", then="reset"), EndKind.CLOSED, 2, id="reset-without-answer"),
-        pytest.param(plays(b"rubbish\r\n\r\n"), EndKind.BROKEN, 2, id="not-http"),
-        pytest.param(plays(FOREIGN), EndKind.BROKEN, 2, id="answer-to-another-request"),
-        pytest.param(plays(OK + OK), EndKind.ANSWERED, 2, id="surplus-answer"),
-        pytest.param(plays(OK + b"more"), EndKind.ANSWERED, 2, id="surplus-bytes"),
+        pytest.param(plays(OK, OK), ExchangeOutcome.ANSWERED, 1, id="kept-connection"),
+        pytest.param(plays(CHUNKED, CHUNKED), ExchangeOutcome.ANSWERED, 1, id="chunked"),
+        pytest.param(plays(CLOSING, then="end"), ExchangeOutcome.ANSWERED, 2, id="closing-target"),
         pytest.param(
-            plays(b"HTTP/1.1 100 Continue\r\n\r\n" + OK, OK), EndKind.ANSWERED, 1, id="interim"
+            plays(UNFRAMED, then="end"), ExchangeOutcome.ANSWERED, 2, id="ends-with-connection"
         ),
         pytest.param(
-            plays(b"HTTP/1.1 204 No Content\r\n\r\n", OK), EndKind.ANSWERED, 1, id="no-body"
+            plays(UNFRAMED, then="reset"), ExchangeOutcome.BROKEN, 2, id="reset-is-not-an-end"
+        ),
+        pytest.param(plays(OK[:-1], then="end"), ExchangeOutcome.BROKEN, 2, id="cut-short"),
+        pytest.param(
+            plays(OK[:20], then="reset"), ExchangeOutcome.BROKEN, 2, id="cut-in-the-headers"
+        ),
+        pytest.param(plays(b"", then="end"), ExchangeOutcome.CLOSED, 2, id="closed-without-answer"),
+        pytest.param(
+            plays(b"", then="reset"), ExchangeOutcome.CLOSED, 2, id="reset-without-answer"
+        ),
+        pytest.param(plays(b"rubbish\r\n\r\n"), ExchangeOutcome.BROKEN, 2, id="not-http"),
+        pytest.param(plays(FOREIGN), ExchangeOutcome.BROKEN, 2, id="answer-to-another-request"),
+        pytest.param(plays(OK + OK), ExchangeOutcome.ANSWERED, 2, id="surplus-answer"),
+        pytest.param(plays(OK + b"more"), ExchangeOutcome.ANSWERED, 2, id="surplus-bytes"),
+        pytest.param(
+            plays(b"HTTP/1.1 100 Continue\r\n\r\n" + OK, OK),
+            ExchangeOutcome.ANSWERED,
+            1,
+            id="interim",
+        ),
+        pytest.param(
+            plays(b"HTTP/1.1 204 No Content\r\n\r\n", OK), ExchangeOutcome.ANSWERED, 1, id="no-body"
         ),
     ],
 )
-def test_answers(run: Run, script: Script, kind: EndKind, connections: int) -> None:
+def test_answers(run: Run, script: Script, kind: ExchangeOutcome, connections: int) -> None:
     """A second exchange shows whether the connection was kept."""
 
     async def scenario() -> None:
@@ -143,8 +154,8 @@
     async def scenario() -> None:
         async with Target(script) as target:
             pool = TargetPool("127.0.0.1", target.port, 4)
-            assert (await exchange(pool)).kind is EndKind.ANSWERED
-            assert (await exchange(pool)).kind is EndKind.BROKEN
+            assert (await exchange(pool)).kind is ExchangeOutcome.ANSWERED
+            assert (await exchange(pool)).kind is ExchangeOutcome.BROKEN
             pool.close()
 
     run(scenario())
@@ -186,7 +197,7 @@
         async with Target(plays(headers_only)) as target:
             pool = TargetPool("127.0.0.1", target.port, 4)
             end = await exchange(pool, request=REQUEST._replace(method=b"HEAD"))
-            assert end.kind is EndKind.ANSWERED
+            assert end.kind is ExchangeOutcome.ANSWERED
             pool.close()
 
     run(scenario())
@@ -198,7 +209,7 @@
             sock.bind(("127.0.0.1", 0))
             port = sock.getsockname()[1]
         pool = TargetPool("127.0.0.1", port, 2)
-        assert (await exchange(pool)).kind is EndKind.NOT_SENT
+        assert (await exchange(pool)).kind is ExchangeOutcome.NOT_SENT
 
     run(scenario())
 
@@ -208,7 +219,7 @@
         async with Target(plays(*[OK] * 20)) as target:
             pool = TargetPool("127.0.0.1", target.port, 2)
             ends = await asyncio.gather(*(exchange(pool) for _ in range(12)))
-            assert all(end.kind is EndKind.ANSWERED for end in ends)
+            assert all(end.kind is ExchangeOutcome.ANSWERED for end in ends)
             assert target.connections == 2
             pool.close()
 
@@ -271,11 +282,14 @@
 
 @pytest.mark.parametrize(
     ("error", "kind", "kept"),
-    [(TimeoutError(), EndKind.BROKEN, 0), (ConnectionResetError(), EndKind.CLOSED, 1)],
+    [
+        (TimeoutError(), ExchangeOutcome.BROKEN, 0),
+        (ConnectionResetError(), ExchangeOutcome.CLOSED, 1),
+    ],
     ids=["silent", "reset"],
 )
 def test_idle_connections_go_with_one_that_went_silent(
-    run: Run, error: OSError, kind: EndKind, kept: int
+    run: Run, error: OSError, kind: ExchangeOutcome, kept: int
 ) -> None:
     """Connections to one target mostly go silent together; each would cost its time-out."""
 
--- a/tests/http1/test_pool.py
+++ b/tests/http1/test_pool.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from trackwheel.http1.models import EndKind, ExchangeEnd, Request
+from trackwheel.http1.models import ExchangeOutcome, ExchangeResult, Request
 from trackwheel.http1.pool import Job, TargetPool
 
 REQUEST = Request(b"GET", b"/", (), b"", 0.0)
@@ -10,13 +10,13 @@
 
 def test_nothing_that_waits_is_sent_to_a_target_that_gets_no_new_work() -> None:
     """All connections are taken; the first exchange that ends takes the second one back."""
-    ended: list[tuple[str, ExchangeEnd]] = []
+    ended: list[tuple[str, ExchangeResult]] = []
 
     async def scenario() -> None:
         pool = TargetPool("127.0.0.1", 1, limit=0)
 
         def job(name: str, takes_back: str = "") -> Job:
-            def end(result: ExchangeEnd) -> None:
+            def end(result: ExchangeResult) -> None:
                 ended.append((name, result))
                 if takes_back:
                     pool.cancel(takes_back)
@@ -30,6 +30,6 @@
 
     asyncio.run(scenario())
     assert [(name, result.kind) for name, result in ended] == [
-        ("first", EndKind.NOT_SENT),
-        ("third", EndKind.NOT_SENT),
+        ("first", ExchangeOutcome.NOT_SENT),
+        ("third", ExchangeOutcome.NOT_SENT),
     ]
--- a/tests/peers/test_hub.py
+++ b/tests/peers/test_hub.py
@@ -6,7 +6,7 @@
 import anyio
 import pytest
 
-from trackwheel.http1.sockets import watch_for_silence
+from trackwheel.http1.sockets import set_tcp_options
 from trackwheel.peers.codec import Codec
 from trackwheel.peers.const import LINK_USER_TIMEOUT_MS
 from trackwheel.peers.hub import Hub
@@ -36,12 +36,12 @@
     """
     user_timeouts: list[int] = []
 
-    def record_user_timeout(transport: asyncio.BaseTransport, unacknowledged_ms: int) -> None:
-        watch_for_silence(transport, unacknowledged_ms)
+    def record_user_timeout(transport: asyncio.BaseTransport, user_timeout_ms: int) -> None:
+        set_tcp_options(transport, user_timeout_ms)
         sock = transport.get_extra_info("socket")
         user_timeouts.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT))
 
-    monkeypatch.setattr("trackwheel.peers.hub.watch_for_silence", record_user_timeout)
+    monkeypatch.setattr("trackwheel.peers.hub.set_tcp_options", record_user_timeout)
 
     async def scenario() -> None:
         hubs = [make_hub("box-1"), make_hub("box-2")]
--- a/tests/peers/test_link.py
+++ b/tests/peers/test_link.py
@@ -76,7 +76,7 @@
 
 
 def test_large_queued_answers_are_sent_in_separate_frames() -> None:
-    """Six queued answers of 4 MB, each within the limit for targets, exceed one frame's limit."""
+    """Six answers of 4 MB, allowed for targets, would exceed the limit in one frame (24 MB)."""
     messages = [answer(nonce, 4_000_000) for nonce in range(6)]
     assert anyio.run(send_over_link, messages, 6) == [0, 1, 2, 3, 4, 5]
 
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1010,7 +1010,7 @@
         "tests/peers/test_hub.py::test_link_that_is_not_acknowledged_breaks",
         Mutant(
             "trackwheel/peers/hub.py",
-            "        watch_for_silence(socket.transport, LINK_USER_TIMEOUT_MS)\n",
+            "        set_tcp_options(socket.transport, LINK_USER_TIMEOUT_MS)\n",
             "",
         ),
     ),
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -43,7 +43,7 @@
 
     def __init__(self, answers: list[Response]) -> None:
         self.respond = answers.append
-        self.on_gone: Any = None
+        self.on_disconnect: Any = None
 
 
 def test_request_before_any_configuration_is_refused_soon_and_logged() -> None:
@@ -76,7 +76,7 @@
     async def scenario() -> None:
         exchange = await fixture.ask()
         if leaves:
-            exchange.on_gone()
+            exchange.on_disconnect()
         fixture.relay.set_table(decode_routes(json.dumps(CONFIG).encode()).unwrap())
         await asyncio.sleep(EARLY_WAIT_S * 1.5)
 
--- a/trackwheel/http1/client.py
+++ b/trackwheel/http1/client.py
@@ -14,15 +14,15 @@
     CLOSE_DELIMITED_STATUSES,
     DEFAULT_REUSE_S,
     REUSE_MARGIN_S,
-    TARGET_UNACKNOWLEDGED_MS,
+    TARGET_USER_TIMEOUT_MS,
 )
-from trackwheel.http1.models import EndKind, ExchangeEnd, Request, Response, header
-from trackwheel.http1.sockets import watch_for_silence
+from trackwheel.http1.models import ExchangeOutcome, ExchangeResult, Request, Response, header
+from trackwheel.http1.sockets import set_tcp_options
 
 _KEEP_ALIVE_TIMEOUT: Final = re.compile(rb"timeout=(\d+)")
 _FIRST_FINAL_STATUS: Final = 200
 
-OnEnd = Callable[[ExchangeEnd], None]
+OnEnd = Callable[[ExchangeResult], None]
 Check = Callable[[Response], str]
 """Say why an answer does not belong to its request; an empty text when it does."""
 
@@ -51,7 +51,7 @@
         self._parser: httptools.HttpResponseParser | None = None
         self._on_end: OnEnd | None = None
         self._check: Check | None = None
-        self._result: ExchangeEnd | None = None
+        self._result: ExchangeResult | None = None
         self._head_only = False
         self._closed = False
         self._status = 0
@@ -76,7 +76,7 @@
         """Take the new connection."""
         # uvloop's transports are no subclasses of the one in asyncio.
         self._transport = cast(asyncio.Transport, transport)
-        watch_for_silence(transport, TARGET_UNACKNOWLEDGED_MS)
+        set_tcp_options(transport, TARGET_USER_TIMEOUT_MS)
 
     def send(self, request: Request, check: Check, on_end: OnEnd) -> None:
         """Send a request; `on_end` is called once, unless the exchange is abandoned."""
@@ -105,7 +105,9 @@
             # Behind a whole answer, bytes that are no answer only cost the connection.
             self._close()
             if self._result is None:
-                self._result = ExchangeEnd(EndKind.BROKEN, None, f"not an answer: {error}")
+                self._result = ExchangeResult(
+                    ExchangeOutcome.BROKEN, None, f"not an answer: {error}"
+                )
         self._deliver()
 
     def eof_received(self) -> bool:
@@ -123,8 +125,8 @@
             detail = f"connection lost: {exc!r}" if exc else "closed by the target"
             # Silence says nothing of the target; what began to answer is no sudden end.
             closed = not self.silent and not self._answer_began
-            kind = EndKind.CLOSED if closed else EndKind.BROKEN
-            self._result = ExchangeEnd(kind, None, detail)
+            kind = ExchangeOutcome.CLOSED if closed else ExchangeOutcome.BROKEN
+            self._result = ExchangeResult(kind, None, detail)
             self._deliver()
 
     def on_message_begin(self) -> None:
@@ -175,13 +177,13 @@
         foreign = self._check(answer)
         if foreign:
             self._close()
-            self._result = ExchangeEnd(EndKind.BROKEN, None, foreign)
+            self._result = ExchangeResult(ExchangeOutcome.BROKEN, None, foreign)
             return
         self.idle_since = steady_now()
         self.reuse_s = _reuse_time(answer)
         if not reusable:
             self._close()
-        self._result = ExchangeEnd(EndKind.ANSWERED, answer, "")
+        self._result = ExchangeResult(ExchangeOutcome.ANSWERED, answer, "")
 
     def _deliver(self) -> None:
         """Tell the end of the exchange, if it has come."""
--- a/trackwheel/http1/const.py
+++ b/trackwheel/http1/const.py
@@ -8,7 +8,7 @@
 """Statuses whose answers never have a body."""
 TCP_USER_TIMEOUT_MS: Final = 4_000
 """How long sent bytes may stay unacknowledged; a silent link is then an error, not a wait."""
-TARGET_UNACKNOWLEDGED_MS: Final = 1_500
+TARGET_USER_TIMEOUT_MS: Final = 1_500
 """The same for a request to a target: on a connection that has gone silent it can be asked again
 before most clients leave. A few times the slowest way there and back, with packets sent again."""
 KEEPALIVE_IDLE_S: Final = 1
--- a/trackwheel/http1/models.py
+++ b/trackwheel/http1/models.py
@@ -17,7 +17,7 @@
 class Request(NamedTuple):
     """Hold one whole request; header names are lower case; `arrived` is monotonic seconds.
 
-    `opening` says that it is the first one on its connection.
+    `first_on_connection` says that it is the first one on its connection.
     """
 
     method: bytes
@@ -25,7 +25,7 @@
     headers: Headers
     body: bytes
     arrived: float
-    opening: bool = False
+    first_on_connection: bool = False
 
 
 class Response(NamedTuple):
@@ -36,7 +36,7 @@
     body: bytes
 
 
-class EndKind(StrEnum):
+class ExchangeOutcome(StrEnum):
     """Say how an exchange with a target ended.
 
     `CLOSED` says that the target ended the connection before a byte of an answer came.
@@ -48,9 +48,9 @@
     BROKEN = "broken"
 
 
-class ExchangeEnd(NamedTuple):
+class ExchangeResult(NamedTuple):
     """Tell the end of one exchange; `answer` is there when a whole one came."""
 
-    kind: EndKind
+    kind: ExchangeOutcome
     answer: Response | None
     detail: str
--- a/trackwheel/http1/pool.py
+++ b/trackwheel/http1/pool.py
@@ -8,7 +8,7 @@
 from trackwheel.clock import steady_now
 from trackwheel.http1.client import Check, ClientConnection, OnEnd
 from trackwheel.http1.const import CONNECT_TIMEOUT_S, ONCE_REUSE_S
-from trackwheel.http1.models import EndKind, ExchangeEnd, Request
+from trackwheel.http1.models import ExchangeOutcome, ExchangeResult, Request
 
 
 class Job(NamedTuple):
@@ -61,7 +61,9 @@
         # One at a time: the end of one may take others back.
         while self._waiting:
             job = self._waiting.popleft()
-            job.on_end(ExchangeEnd(EndKind.NOT_SENT, None, "the target gets no new work"))
+            job.on_end(
+                ExchangeResult(ExchangeOutcome.NOT_SENT, None, "the target gets no new work")
+            )
 
     def close(self) -> None:
         """Close idle connections and stop opening new ones; exchanges under way go on."""
@@ -114,7 +116,7 @@
         return None
 
     def _send(self, connection: ClientConnection, job: Job) -> None:
-        def end(result: ExchangeEnd) -> None:
+        def end(result: ExchangeResult) -> None:
             self._connection_by_token.pop(job.token, None)
             if connection.open:
                 self._idle.append(connection)
@@ -148,7 +150,7 @@
         if not self._waiting:
             return
         job = self._waiting.popleft()
-        job.on_end(ExchangeEnd(EndKind.NOT_SENT, None, f"no connection: {error!r}"))
+        job.on_end(ExchangeResult(ExchangeOutcome.NOT_SENT, None, f"no connection: {error!r}"))
         self._pump()
 
     def _closed(self, connection: ClientConnection) -> None:
--- a/trackwheel/http1/server.py
+++ b/trackwheel/http1/server.py
@@ -11,7 +11,7 @@
 from trackwheel.clock import steady_now
 from trackwheel.http1.const import FIRST_REQUEST_WAIT_S, MAX_WAITING_REQUESTS
 from trackwheel.http1.models import Headers, Request, Response
-from trackwheel.http1.sockets import watch_for_silence
+from trackwheel.http1.sockets import set_tcp_options
 from trackwheel.routing.models import Limits
 
 _REASON_BY_STATUS: Final = {status.value: status.phrase.encode() for status in HTTPStatus}
@@ -21,11 +21,11 @@
     """Let the handler of a request answer it."""
 
     @property
-    def on_gone(self) -> Callable[[], None] | None:
+    def on_disconnect(self) -> Callable[[], None] | None:
         """Return what is called when the client leaves before its answer."""
 
-    @on_gone.setter
-    def on_gone(self, handler: Callable[[], None]) -> None: ...
+    @on_disconnect.setter
+    def on_disconnect(self, handler: Callable[[], None]) -> None: ...
 
     def respond(self, response: Response) -> None:
         """Give the one answer; a second one, or one to a client who left, is dropped."""
@@ -70,7 +70,7 @@
         self._head_only = head_only
         self._keep = keep
         self._done = False
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     def respond(self, response: Response) -> None:
         """Write the answer."""
@@ -84,8 +84,8 @@
         if self._done:
             return
         self._done = True
-        if self.on_gone is not None:
-            self.on_gone()
+        if self.on_disconnect is not None:
+            self.on_disconnect()
 
 
 class ServerConnection(asyncio.Protocol):
@@ -118,7 +118,7 @@
         """Take a new connection."""
         # uvloop's transports are no subclasses of the one in asyncio.
         self._transport = cast(asyncio.Transport, transport)
-        watch_for_silence(transport)
+        set_tcp_options(transport)
         self._state.connections.add(self)
         self._set_timer(self._state.limits().idle_s, self.close)
 
--- a/trackwheel/http1/sockets.py
+++ b/trackwheel/http1/sockets.py
@@ -11,12 +11,12 @@
 )
 
 
-def watch_for_silence(
-    transport: asyncio.BaseTransport, unacknowledged_ms: int = TCP_USER_TIMEOUT_MS
+def set_tcp_options(
+    transport: asyncio.BaseTransport, user_timeout_ms: int = TCP_USER_TIMEOUT_MS
 ) -> None:
     """Let the kernel report a peer that acknowledges nothing, and send without delay.
 
-    `unacknowledged_ms` is how long sent bytes may wait for that; an idle connection is asked now
+    `user_timeout_ms` is how long sent bytes may wait for that; an idle connection is asked now
     and then whether its other end is still there.
     """
     sock = transport.get_extra_info("socket")
@@ -27,4 +27,4 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PERIOD_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacknowledged_ms)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, user_timeout_ms)
--- a/trackwheel/peers/hub.py
+++ b/trackwheel/peers/hub.py
@@ -14,7 +14,7 @@
 from websockets.exceptions import ConnectionClosed, InvalidHandshake, InvalidURI
 
 from trackwheel.clock import steady_now
-from trackwheel.http1.sockets import watch_for_silence
+from trackwheel.http1.sockets import set_tcp_options
 from trackwheel.peers.certificate import certificate_matches
 from trackwheel.peers.codec import Codec, Message
 from trackwheel.peers.const import (
@@ -200,7 +200,7 @@
 
     async def _serve_link(self, socket: Connection, peer: PeerIdentity, outbox: Outbox) -> None:
         address = peer.address
-        watch_for_silence(socket.transport, LINK_USER_TIMEOUT_MS)
+        set_tcp_options(socket.transport, LINK_USER_TIMEOUT_MS)
         self._link_count_by_address[address] = self._link_count_by_address.get(address, 0) + 1
         try:
             await run_link(socket, peer, outbox, self._codec, self)
--- a/trackwheel/relay/early.py
+++ b/trackwheel/relay/early.py
@@ -33,7 +33,7 @@
         if len(self._held_by_exchange) >= EARLY_HELD:
             self._refuse(request, exchange)
             return
-        exchange.on_gone = partial(self._forget, exchange)
+        exchange.on_disconnect = partial(self._forget, exchange)
         timer = asyncio.get_running_loop().call_later(EARLY_WAIT_S, self._late, exchange)
         self._held_by_exchange[exchange] = _Held(request, timer)
 
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -165,7 +165,7 @@
 
         single = Single(plan, self._board, self._budget)
         run = SingleRun(caller, single, self._transport, done)
-        exchange.on_gone = lambda: self._leave(caller, route.name, run)
+        exchange.on_disconnect = lambda: self._leave(caller, route.name, run)
         run.start()
 
     def _serve_if_one_answers(
@@ -185,7 +185,7 @@
 
         single = Single(self._plan_single(caller, route, True), self._board, self._budget)
         run = SingleRun(caller, single, self._transport, done)
-        exchange.on_gone = lambda: self._leave(caller, route.name, run)
+        exchange.on_disconnect = lambda: self._leave(caller, route.name, run)
         run.start()
 
     def _serve_query(
@@ -209,7 +209,7 @@
 
         task = GatherTask(caller, gather)
         run = GatherRun(task, self._transport, self._groups, done)
-        exchange.on_gone = lambda: self._leave(caller, route.name, run)
+        exchange.on_disconnect = lambda: self._leave(caller, route.name, run)
         run.start()
 
     def _leave(self, caller: CallerRequest, route: str, run: GatherRun | SingleRun) -> None:
@@ -300,7 +300,7 @@
 def _answer_at(caller: CallerRequest, route: Route) -> float:
     """Return the last moment to answer within the aim (monotonic seconds)."""
     margin_s = RETURN_MARGIN_S
-    if caller.http.opening:
+    if caller.http.first_on_connection:
         margin_s += NEW_CONNECTION_MARGIN_S
     return caller.http.arrived + route.aim_s - margin_s
 
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Final, NamedTuple, Protocol
 
-from trackwheel.http1.models import EndKind, ExchangeEnd, Request, Response
+from trackwheel.http1.models import ExchangeOutcome, ExchangeResult, Request, Response
 from trackwheel.http1.pool import Job, TargetPool
 from trackwheel.relay.board import Board, TargetBelief
 from trackwheel.relay.models import CallerRequest, Life, Outcome, RouteKey, Target, TargetEnd, Wire
@@ -20,9 +20,9 @@
 """Connections that a box may have to a target in any case."""
 
 _OUTCOME_BY_KIND: Final = {
-    EndKind.NOT_SENT: Outcome.NOT_SENT,
-    EndKind.CLOSED: Outcome.CLOSED,
-    EndKind.BROKEN: Outcome.BROKEN,
+    ExchangeOutcome.NOT_SENT: Outcome.NOT_SENT,
+    ExchangeOutcome.CLOSED: Outcome.CLOSED,
+    ExchangeOutcome.BROKEN: Outcome.BROKEN,
 }
 """How a request ended without an answer."""
 
@@ -111,7 +111,7 @@
         def check(answer: Response) -> str:
             return self._wire.check_answer(request.request_id, answer)
 
-        def ended(end: ExchangeEnd) -> None:
+        def ended(end: ExchangeResult) -> None:
             result = self._read(end, sending.single)
             self.ended_by_outcome[(result.outcome.value,)] += 1
             belief = self._board.ended(
@@ -169,7 +169,7 @@
                 after=end.outcome.value,
             )
 
-    def _read(self, end: ExchangeEnd, single: bool) -> TargetEnd:
+    def _read(self, end: ExchangeResult, single: bool) -> TargetEnd:
         if end.answer is not None:
             return self._wire.read_end(end.answer, single)
         return TargetEnd(_OUTCOME_BY_KIND[end.kind], None, b"", None, end.detail)
