--- a/tests/http1/conftest.py
+++ b/tests/http1/conftest.py
@@ -1,4 +1,4 @@
-"""Raw peers for the HTTP edge."""
+"""An HTTP server and fixtures for its tests."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -13,31 +13,31 @@
 LIMITS = Limits(500, 1000, 0.2, 0.5)
 
 
-class Served:
-    """A server on a free port with a handler that notes what it gets."""
+class RecordingServer:
+    """A server on a free port that records the requests it handles."""
 
     def __init__(self, handler: Handler | None = None, limits: Limits = LIMITS) -> None:
         self.requests: list[Request] = []
-        self.gone = 0
+        self.disconnects = 0
         self.state = ServerState(handler or self.answer, lambda: limits)
         self.port = 0
         self._server: asyncio.Server | None = None
 
     def answer(self, request: Request, exchange: Exchange) -> None:
-        """Answer with the request's own target and body."""
+        """Answer with the target and body of the request."""
         self.requests.append(request)
         exchange.respond(Response(200, (), request.target + b" " + request.body))
 
-    def keep(self, request: Request, exchange: Exchange) -> None:
-        """Answer nothing; count clients that leave."""
+    def hold(self, request: Request, exchange: Exchange) -> None:
+        """Leave the request unanswered and count disconnecting clients."""
         self.requests.append(request)
 
-        def gone() -> None:
-            self.gone += 1
+        def count_disconnect() -> None:
+            self.disconnects += 1
 
-        exchange.on_disconnect = gone
+        exchange.on_disconnect = count_disconnect
 
-    async def __aenter__(self) -> "Served":
+    async def __aenter__(self) -> "RecordingServer":
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(self.state), "127.0.0.1", 0
@@ -55,7 +55,7 @@
 
 @pytest.fixture
 def run() -> Run:
-    """Run a coroutine within some seconds."""
+    """Return a function that runs a coroutine with a timeout."""
 
     def run_it(coroutine: Coroutine[Any, Any, None]) -> None:
         async def bounded() -> None:
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -1,4 +1,4 @@
-"""The client side and its pool, against raw targets that misbehave."""
+"""The HTTP client and its pool, tested with faulty raw TCP targets."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 
 class Target:
-    """A target that plays a script on each connection."""
+    """A target that runs a script on each connection."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
@@ -47,8 +47,8 @@
     writer.transport.abort()
 
 
-def plays(*answers: bytes, then: str = "wait") -> Script:
-    """Return a script that gives one answer to each request, then ends in some manner."""
+def respond_with(*answers: bytes, then: str = "wait") -> Script:
+    """Return a script that sends one answer per request, then waits, closes or resets."""
 
     async def script(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int
@@ -66,20 +66,24 @@
     return script
 
 
-NUMBERS = itertools.count()
+REQUEST_NUMBERS = itertools.count()
 
 
-def belongs(answer: Response) -> str:
-    told = header(answer.headers, b"x-id")
-    return "" if told in (None, b"7") else "another request's"
+def check_request_id(answer: Response) -> str:
+    response_id = header(answer.headers, b"x-id")
+    return "" if response_id in (None, b"7") else "another request's"
 
 
 async def exchange(
-    pool: TargetPool, once: bool = False, request: Request = REQUEST, request_id: str = ""
+    pool: TargetPool, at_most_once: bool = False, request: Request = REQUEST, request_id: str = ""
 ) -> ExchangeResult:
     future: asyncio.Future[ExchangeResult] = asyncio.get_running_loop().create_future()
-    request_id = request_id or f"any-{next(NUMBERS)}"
-    pool.submit(Job(object(), request_id, lambda: request, belongs, once, future.set_result))
+    request_id = request_id or f"any-{next(REQUEST_NUMBERS)}"
+    pool.submit(
+        Job(
+            object(), request_id, lambda: request, check_request_id, at_most_once, future.set_result
+        )
+    )
     return await future
 
 
@@ -91,50 +95,64 @@
 
 
 @pytest.mark.parametrize(
-    ("script", "kind", "connections"),
+    ("script", "outcome", "connections"),
     [
-        pytest.param(plays(OK, OK), ExchangeOutcome.ANSWERED, 1, id="kept-connection"),
-        pytest.param(plays(CHUNKED, CHUNKED), ExchangeOutcome.ANSWERED, 1, id="chunked"),
-        pytest.param(plays(CLOSING, then="end"), ExchangeOutcome.ANSWERED, 2, id="closing-target"),
+        pytest.param(respond_with(OK, OK), ExchangeOutcome.ANSWERED, 1, id="keep-alive"),
+        pytest.param(respond_with(CHUNKED, CHUNKED), ExchangeOutcome.ANSWERED, 1, id="chunked"),
         pytest.param(
-            plays(UNFRAMED, then="end"), ExchangeOutcome.ANSWERED, 2, id="ends-with-connection"
+            respond_with(CLOSING, then="end"), ExchangeOutcome.ANSWERED, 2, id="connection-close"
         ),
         pytest.param(
-            plays(UNFRAMED, then="reset"), ExchangeOutcome.BROKEN, 2, id="reset-is-not-an-end"
+            respond_with(UNFRAMED, then="end"), ExchangeOutcome.ANSWERED, 2, id="close-delimited"
         ),
-        pytest.param(plays(OK[:-1], then="end"), ExchangeOutcome.BROKEN, 2, id="cut-short"),
         pytest.param(
-            plays(OK[:20], then="reset"), ExchangeOutcome.BROKEN, 2, id="cut-in-the-headers"
+            respond_with(UNFRAMED, then="reset"),
+            ExchangeOutcome.BROKEN,
+            2,
+            id="close-delimited-reset",
         ),
-        pytest.param(plays(b"", then="end"), ExchangeOutcome.CLOSED, 2, id="closed-without-answer"),
         pytest.param(
-            plays(b"", then="reset"), ExchangeOutcome.CLOSED, 2, id="reset-without-answer"
+            respond_with(OK[:-1], then="end"), ExchangeOutcome.BROKEN, 2, id="truncated-body"
         ),
-        pytest.param(plays(b"rubbish\r\n\r\n"), ExchangeOutcome.BROKEN, 2, id="not-http"),
-        pytest.param(plays(FOREIGN), ExchangeOutcome.BROKEN, 2, id="answer-to-another-request"),
-        pytest.param(plays(OK + OK), ExchangeOutcome.ANSWERED, 2, id="surplus-answer"),
-        pytest.param(plays(OK + b"more"), ExchangeOutcome.ANSWERED, 2, id="surplus-bytes"),
         pytest.param(
-            plays(b"HTTP/1.1 100 Continue\r\n\r\n" + OK, OK),
+            respond_with(OK[:20], then="reset"), ExchangeOutcome.BROKEN, 2, id="truncated-headers"
+        ),
+        pytest.param(
+            respond_with(b"", then="end"), ExchangeOutcome.CLOSED, 2, id="closed-without-answer"
+        ),
+        pytest.param(
+            respond_with(b"", then="reset"), ExchangeOutcome.CLOSED, 2, id="reset-without-answer"
+        ),
+        pytest.param(respond_with(b"rubbish\r\n\r\n"), ExchangeOutcome.BROKEN, 2, id="not-http"),
+        pytest.param(
+            respond_with(FOREIGN), ExchangeOutcome.BROKEN, 2, id="answer-to-another-request"
+        ),
+        pytest.param(respond_with(OK + OK), ExchangeOutcome.ANSWERED, 2, id="surplus-answer"),
+        pytest.param(respond_with(OK + b"more"), ExchangeOutcome.ANSWERED, 2, id="surplus-bytes"),
+        pytest.param(
+            respond_with(b"HTTP/1.1 100 Continue\r\n\r\n" + OK, OK),
             ExchangeOutcome.ANSWERED,
             1,
             id="interim",
         ),
         pytest.param(
-            plays(b"HTTP/1.1 204 No Content\r\n\r\n", OK), ExchangeOutcome.ANSWERED, 1, id="no-body"
+            respond_with(b"HTTP/1.1 204 No Content\r\n\r\n", OK),
+            ExchangeOutcome.ANSWERED,
+            1,
+            id="no-body",
         ),
     ],
 )
-def test_answers(run: Run, script: Script, kind: ExchangeOutcome, connections: int) -> None:
-    """A second exchange shows whether the connection was kept."""
+def test_answers(run: Run, script: Script, outcome: ExchangeOutcome, connections: int) -> None:
+    """The second exchange shows whether the connection is reused."""
 
     async def scenario() -> None:
         async with Target(script) as target:
             pool = TargetPool("127.0.0.1", target.port, 4)
             first = await exchange(pool)
-            assert first.kind is kind, first
+            assert first.outcome is outcome, first
             await asyncio.sleep(0.01)
-            assert (await exchange(pool)).kind is kind
+            assert (await exchange(pool)).outcome is outcome
             assert target.connections == connections
             pool.close()
 
@@ -154,33 +172,33 @@
     async def scenario() -> None:
         async with Target(script) as target:
             pool = TargetPool("127.0.0.1", target.port, 4)
-            assert (await exchange(pool)).kind is ExchangeOutcome.ANSWERED
-            assert (await exchange(pool)).kind is ExchangeOutcome.BROKEN
+            assert (await exchange(pool)).outcome is ExchangeOutcome.ANSWERED
+            assert (await exchange(pool)).outcome is ExchangeOutcome.BROKEN
             pool.close()
 
     run(scenario())
 
 
-def test_request_on_a_rested_connection_runs_only_once(run: Run) -> None:
-    """One that must not run twice gets a fresh connection when the kept one has rested."""
+def test_at_most_once_request_avoids_a_connection_that_was_idle(run: Run) -> None:
+    """A target may close an idle connection just as the request is sent."""
 
     async def scenario() -> None:
-        async with Target(plays(OK, OK)) as target:
+        async with Target(respond_with(OK, OK)) as target:
             pool = TargetPool("127.0.0.1", target.port, 4)
             await exchange(pool)
             await asyncio.sleep(0.9)
-            await exchange(pool, once=True)
+            await exchange(pool, at_most_once=True)
             assert target.connections == 2
             pool.close()
 
     run(scenario())
 
 
-def test_told_idle_time_is_kept(run: Run) -> None:
+def test_keep_alive_timeout_of_the_target_is_respected(run: Run) -> None:
     short = OK.replace(b"X-Id", b"Keep-Alive: timeout=1\r\nX-Id")
 
     async def scenario() -> None:
-        async with Target(plays(short, short)) as target:
+        async with Target(respond_with(short, short)) as target:
             pool = TargetPool("127.0.0.1", target.port, 4)
             await exchange(pool)
             await asyncio.sleep(0.5)
@@ -194,51 +212,49 @@
 def test_head_has_no_body(run: Run) -> None:
     async def scenario() -> None:
         headers_only = OK[:-2].replace(b"Content-Length: 2", b"Content-Length: 99")
-        async with Target(plays(headers_only)) as target:
+        async with Target(respond_with(headers_only)) as target:
             pool = TargetPool("127.0.0.1", target.port, 4)
             end = await exchange(pool, request=REQUEST._replace(method=b"HEAD"))
-            assert end.kind is ExchangeOutcome.ANSWERED
+            assert end.outcome is ExchangeOutcome.ANSWERED
             pool.close()
 
     run(scenario())
 
 
-def test_refused_connection_was_not_sent(run: Run) -> None:
+def test_refused_connection_means_not_sent(run: Run) -> None:
     async def scenario() -> None:
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))
             port = sock.getsockname()[1]
         pool = TargetPool("127.0.0.1", port, 2)
-        assert (await exchange(pool)).kind is ExchangeOutcome.NOT_SENT
+        assert (await exchange(pool)).outcome is ExchangeOutcome.NOT_SENT
 
     run(scenario())
 
 
-def test_no_more_connections_than_allowed(run: Run) -> None:
+def test_connection_limit_is_respected(run: Run) -> None:
     async def scenario() -> None:
-        async with Target(plays(*[OK] * 20)) as target:
+        async with Target(respond_with(*[OK] * 20)) as target:
             pool = TargetPool("127.0.0.1", target.port, 2)
             ends = await asyncio.gather(*(exchange(pool) for _ in range(12)))
-            assert all(end.kind is ExchangeOutcome.ANSWERED for end in ends)
+            assert all(end.outcome is ExchangeOutcome.ANSWERED for end in ends)
             assert target.connections == 2
             pool.close()
 
     run(scenario())
 
 
-LATE = OK.replace(b"\r\n\r\nok", b"\r\n\r\nno")
-"""A surplus answer to an earlier try of the same request: its id is the one that is awaited."""
+LATE_SURPLUS = OK.replace(b"\r\n\r\nok", b"\r\n\r\nno")
+"""A surplus answer to an earlier attempt of the same request, with the id that is expected."""
 
 
-@pytest.mark.parametrize("limit", [2, 1], ids=["room-for-another-connection", "no-room"])
-@pytest.mark.parametrize("between", [0, 3], ids=["in-a-row", "others-between"])
-def test_request_that_comes_again_is_not_answered_by_what_was_left_of_it(
-    run: Run, limit: int, between: int
-) -> None:
+@pytest.mark.parametrize("limit", [2, 1], ids=["below-connection-limit", "at-connection-limit"])
+@pytest.mark.parametrize("between", [0, 3], ids=["immediate-repeat", "other-requests-between"])
+def test_late_answer_to_an_earlier_attempt_is_ignored(run: Run, limit: int, between: int) -> None:
     async def script(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int
     ) -> None:
-        answers = [OK] * (1 + between) + [LATE]
+        answers = [OK] * (1 + between) + [LATE_SURPLUS]
         for answer in answers:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(answer)
@@ -257,52 +273,54 @@
     run(scenario())
 
 
-def test_withdrawn_request_closes_its_connection(run: Run) -> None:
-    left = asyncio.Event()
+def test_cancelled_request_closes_its_connection(run: Run) -> None:
+    disconnected = asyncio.Event()
 
     async def script(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int
     ) -> None:
         await reader.readuntil(b"\r\n\r\n")
         await reader.read()
-        left.set()
+        disconnected.set()
 
     async def scenario() -> None:
         async with Target(script) as target:
             pool = TargetPool("127.0.0.1", target.port, 2)
             token = object()
-            pool.submit(Job(token, str(token), lambda: REQUEST, belongs, False, lambda end: None))
+            pool.submit(
+                Job(token, str(token), lambda: REQUEST, check_request_id, False, lambda end: None)
+            )
             await asyncio.sleep(0.05)
             pool.cancel(token)
-            await left.wait()
+            await disconnected.wait()
             assert pool.unused
 
     run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("error", "kind", "kept"),
+    ("error", "outcome", "idle"),
     [
         (TimeoutError(), ExchangeOutcome.BROKEN, 0),
         (ConnectionResetError(), ExchangeOutcome.CLOSED, 1),
     ],
-    ids=["silent", "reset"],
+    ids=["timeout", "reset"],
 )
-def test_idle_connections_go_with_one_that_went_silent(
-    run: Run, error: OSError, kind: ExchangeOutcome, kept: int
+def test_idle_connections_are_closed_after_a_timeout(
+    run: Run, error: OSError, outcome: ExchangeOutcome, idle: int
 ) -> None:
-    """Connections to one target mostly go silent together; each would cost its time-out."""
+    """Connections to one target mostly fail together; using each would cost a timeout."""
 
     async def scenario() -> None:
-        async with Target(plays(OK, OK)) as target:
+        async with Target(respond_with(OK, OK)) as target:
             pool = TargetPool("127.0.0.1", target.port, 4)
             await asyncio.gather(exchange(pool), exchange(pool))
-            asked = asyncio.create_task(exchange(pool))
+            pending = asyncio.create_task(exchange(pool))
             await asyncio.sleep(0)
             (connection,) = pool._connection_by_token.values()
             connection.connection_lost(error)
-            assert (await asked).kind is kind
-            assert len(pool._idle) == kept
+            assert (await pending).outcome is outcome
+            assert len(pool._idle) == idle
             pool.close()
 
     run(scenario())
--- a/tests/http1/test_pool.py
+++ b/tests/http1/test_pool.py
@@ -1,4 +1,4 @@
-"""Exchanges that wait for a connection to one target."""
+"""Waiting exchanges of the connection pool."""
 
 import asyncio
 
@@ -8,28 +8,28 @@
 REQUEST = Request(b"GET", b"/", (), b"", 0.0)
 
 
-def test_nothing_that_waits_is_sent_to_a_target_that_gets_no_new_work() -> None:
-    """All connections are taken; the first exchange that ends takes the second one back."""
+def test_refusing_waiting_exchanges_sends_none_of_them() -> None:
+    """No connection is free; the callback of the first exchange cancels the second one."""
     ended: list[tuple[str, ExchangeResult]] = []
 
     async def scenario() -> None:
         pool = TargetPool("127.0.0.1", 1, limit=0)
 
-        def job(name: str, takes_back: str = "") -> Job:
+        def job(name: str, cancels: str = "") -> Job:
             def end(result: ExchangeResult) -> None:
                 ended.append((name, result))
-                if takes_back:
-                    pool.cancel(takes_back)
+                if cancels:
+                    pool.cancel(cancels)
 
             return Job(name, name, lambda: REQUEST, lambda answer: "", False, end)
 
-        for waiting in (job("first", takes_back="second"), job("second"), job("third")):
-            pool.submit(waiting)
+        for queued in (job("first", cancels="second"), job("second"), job("third")):
+            pool.submit(queued)
         pool.refuse_waiting()
         assert pool.unused
 
     asyncio.run(scenario())
-    assert [(name, result.kind) for name, result in ended] == [
+    assert [(name, result.outcome) for name, result in ended] == [
         ("first", ExchangeOutcome.NOT_SENT),
         ("third", ExchangeOutcome.NOT_SENT),
     ]
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,21 +1,21 @@
-"""The server side, against a raw client."""
+"""The HTTP server, tested with a raw TCP client."""
 
 import asyncio
 
 import pytest
 
-from tests.http1.conftest import Run, Served
+from tests.http1.conftest import RecordingServer, Run
 from trackwheel.http1.models import Response
 from trackwheel.http1.server import encode_response
 
 GET = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
-async def talk(port: int, *pieces: bytes, until_close: bool = True) -> bytes:
-    """Send pieces one after the other and return all that comes until the end."""
+async def send_raw(port: int, *chunks: bytes, until_close: bool = True) -> bytes:
+    """Send chunks one by one and return the data received, by default until the end."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    for piece in pieces:
-        writer.write(piece)
+    for chunk in chunks:
+        writer.write(chunk)
         await writer.drain()
         await asyncio.sleep(0.01)
     data = await reader.read() if until_close else await reader.read(65536)
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("pieces", "status", "body"),
+    ("chunks", "status", "body"),
     [
         pytest.param([GET.replace(b"Host", CLOSE + b"Host")], 200, b"/a ", id="get"),
         pytest.param(
@@ -53,7 +53,7 @@
             ],
             400,
             b"",
-            id="two-lengths-are-refused",
+            id="conflicting-lengths",
         ),
         pytest.param([b"GET /a HTTP/1.1\r\nX: " + b"x" * 600], 431, b"", id="large-headers"),
         pytest.param(
@@ -68,55 +68,55 @@
         pytest.param([b"GET /a HTTP/1.1\r\nHo"], 408, b"", id="slow-headers"),
     ],
 )
-def test_requests(run: Run, pieces: list[bytes], status: int, body: bytes) -> None:
+def test_requests(run: Run, chunks: list[bytes], status: int, body: bytes) -> None:
     async def scenario() -> None:
-        async with Served() as served:
-            data = await talk(served.port, *pieces)
+        async with RecordingServer() as server:
+            data = await send_raw(server.port, *chunks)
             head, _, rest = data.partition(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 %d " % status)
             assert rest == body
-            assert all(request.target != b"/smuggled" for request in served.requests)
+            assert all(request.target != b"/smuggled" for request in server.requests)
 
     run(scenario())
 
 
 def test_pipelined_requests_are_answered_in_order(run: Run) -> None:
     async def scenario() -> None:
-        async with Served() as served:
+        async with RecordingServer() as server:
             targets = [b"/%d" % number for number in range(40)]
             requests = b"".join(b"GET %s HTTP/1.1\r\nHost: h\r\n\r\n" % t for t in targets)
-            data = await talk(served.port, requests)
+            data = await send_raw(server.port, requests)
             bodies = [part.partition(b"\r\n\r\n")[2] for part in data.split(b"HTTP/1.1 200 OK")]
             assert bodies[1:] == [target + b" " for target in targets]
 
     run(scenario())
 
 
-def test_client_that_leaves_is_noticed(run: Run) -> None:
+def test_disconnect_of_a_client_is_reported(run: Run) -> None:
     async def scenario() -> None:
-        served = Served()
-        served.state.handler = served.keep
-        async with served:
-            _, writer = await asyncio.open_connection("127.0.0.1", served.port)
+        server = RecordingServer()
+        server.state.handler = server.hold
+        async with server:
+            _, writer = await asyncio.open_connection("127.0.0.1", server.port)
             writer.write(GET)
             await asyncio.sleep(0.05)
-            assert served.gone == 0
-            assert served.state.busy == 1
+            assert server.disconnects == 0
+            assert server.state.busy == 1
             writer.close()
             await asyncio.sleep(0.05)
-            assert served.gone == 1
-            assert served.state.busy == 0
+            assert server.disconnects == 1
+            assert server.state.busy == 0
 
     run(scenario())
 
 
-def test_stopping_server_finishes_and_closes(run: Run) -> None:
+def test_stopping_server_answers_and_closes(run: Run) -> None:
     async def scenario() -> None:
-        async with Served() as served:
-            reader, writer = await asyncio.open_connection("127.0.0.1", served.port)
+        async with RecordingServer() as server:
+            reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
             writer.write(GET)
             await reader.readuntil(b"/a ")
-            served.state.stopping = True
+            server.state.stopping = True
             writer.write(GET)
             data = await reader.read()
             assert b"200 OK" in data
@@ -125,16 +125,16 @@
     run(scenario())
 
 
-def test_stopping_server_closes_idle_connections_but_new_ones(run: Run) -> None:
+def test_stopping_server_closes_idle_connections_except_new_ones(run: Run) -> None:
     async def scenario() -> None:
-        async with Served() as served:
-            old, _ = await asyncio.open_connection("127.0.0.1", served.port)
+        async with RecordingServer() as server:
+            old, _ = await asyncio.open_connection("127.0.0.1", server.port)
             await asyncio.sleep(0.35)
-            _, writer = await asyncio.open_connection("127.0.0.1", served.port)
+            _, writer = await asyncio.open_connection("127.0.0.1", server.port)
             await asyncio.sleep(0.02)
-            served.state.close_idle()
+            server.state.close_idle()
             assert await old.read() == b""
-            assert len(served.state.connections) == 1
+            assert len(server.state.connections) == 1
             writer.close()
 
     run(scenario())
@@ -142,15 +142,15 @@
 
 def test_idle_connection_is_closed(run: Run) -> None:
     async def scenario() -> None:
-        async with Served() as served:
-            reader, _ = await asyncio.open_connection("127.0.0.1", served.port)
+        async with RecordingServer() as server:
+            reader, _ = await asyncio.open_connection("127.0.0.1", server.port)
             assert await reader.read() == b""
 
     run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("response", "head_only", "keep", "expected"),
+    ("response", "head_only", "keep_alive", "expected"),
     [
         pytest.param(
             Response(200, ((b"a", b"1"),), b"xy"),
@@ -168,5 +168,5 @@
         ),
     ],
 )
-def test_encoding(response: Response, head_only: bool, keep: bool, expected: bytes) -> None:
-    assert encode_response(response, head_only, keep) == expected
+def test_encoding(response: Response, head_only: bool, keep_alive: bool, expected: bytes) -> None:
+    assert encode_response(response, head_only, keep_alive) == expected
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -719,8 +719,8 @@
         HTTP_TARGET + "test_answers",
         Mutant(
             "trackwheel/http1/client.py",
-            "foreign = self._check(answer)",
-            'foreign = ""',
+            "mismatch = self._check(answer)",
+            'mismatch = ""',
         ),
     ),
     Row(
@@ -730,8 +730,8 @@
         HTTP_TARGET + "test_late_surplus_answer_is_not_taken_for_the_next_one",
         Mutant(
             "trackwheel/http1/client.py",
-            "foreign = self._check(answer)",
-            'foreign = ""',
+            "mismatch = self._check(answer)",
+            'mismatch = ""',
         ),
     ),
     Row(
@@ -999,8 +999,8 @@
         "tests/platform/test_store.py::test_silent_connection_is_met_only_once",
         Mutant(
             "trackwheel/http1/call.py",
-            "        async with asyncio.timeout(timeout_s):\n            return await ended\n",
-            "        return await ended\n",
+            "        async with asyncio.timeout(timeout_s):\n            return await result\n",
+            "        return await result\n",
         ),
     ),
     Row(
@@ -1018,10 +1018,10 @@
         PLATFORM,
         MEMBERSHIP,
         "connections to a target go silent for good",
-        "tests/http1/test_client.py::test_idle_connections_go_with_one_that_went_silent",
+        "tests/http1/test_client.py::test_idle_connections_are_closed_after_a_timeout",
         Mutant(
             "trackwheel/http1/pool.py",
-            "            elif connection.silent:\n                self._drop_idle()\n",
+            "            elif connection.timed_out:\n                self._close_idle()\n",
             "",
         ),
     ),
@@ -1106,7 +1106,11 @@
         GONE,
         "a client leaves, through real processes",
         ENTRY + "test_client_that_leaves_cancels_the_work",
-        Mutant("trackwheel/http1/server.py", "            current.gone()", "            pass"),
+        Mutant(
+            "trackwheel/http1/server.py",
+            "            current.notify_disconnect()",
+            "            pass",
+        ),
     ),
     Row(
         PLATFORM,
@@ -1191,8 +1195,7 @@
         PLATFORM,
         EVACUATION,
         "requests wait for a connection to a target that is barred meanwhile",
-        "tests/http1/test_pool.py::"
-        "test_nothing_that_waits_is_sent_to_a_target_that_gets_no_new_work",
+        "tests/http1/test_pool.py::" "test_refusing_waiting_exchanges_sends_none_of_them",
         Mutant(
             "trackwheel/http1/pool.py",
             "        while self._waiting:\n            job =",
@@ -1507,9 +1510,12 @@
         PLATFORM,
         OWN,
         "a surplus answer comes late, while the same request is at the target again",
-        "tests/http1/test_client.py::"
-        "test_request_that_comes_again_is_not_answered_by_what_was_left_of_it",
-        Mutant("trackwheel/http1/pool.py", "job.request_id not in connection.carried", "True"),
+        "tests/http1/test_client.py::" "test_late_answer_to_an_earlier_attempt_is_ignored",
+        Mutant(
+            "trackwheel/http1/pool.py",
+            "job.request_id not in connection.recent_request_ids",
+            "True",
+        ),
     ),
     Row(
         PLATFORM,
--- a/trackwheel/http1/__init__.py
+++ b/trackwheel/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over asyncio transports, parsed by httptools: a server and connections to targets."""
+"""HTTP/1.1 over asyncio transports, parsed by httptools: a server and a pooling client."""
--- a/trackwheel/http1/call.py
+++ b/trackwheel/http1/call.py
@@ -1,4 +1,4 @@
-"""One exchange on a connection of its own."""
+"""A single exchange on a connection of its own."""
 
 import asyncio
 
@@ -9,10 +9,9 @@
 async def call_once(
     host: str, port: int, request: Request, connect_timeout_s: float, timeout_s: float
 ) -> ExchangeResult:
-    """Open a connection, exchange one request and its answer, and close it.
+    """Open a connection, send one request, receive its answer and close the connection.
 
-    Times are seconds; one that is over, or an error of the network, ends the exchange as broken or
-    as not sent.
+    A time-out or a network error gives a result that is broken, or not sent if it came first.
     """
     connection = ClientConnection(lambda _: None)
     loop = asyncio.get_running_loop()
@@ -20,20 +19,22 @@
         async with asyncio.timeout(connect_timeout_s):
             await loop.create_connection(lambda: connection, host, port)
     except (OSError, TimeoutError) as error:
-        return ExchangeResult(ExchangeOutcome.NOT_SENT, None, f"no connection: {error!r}")
+        return ExchangeResult(ExchangeOutcome.NOT_SENT, None, f"cannot connect: {error!r}")
     if not connection.open:
-        return ExchangeResult(ExchangeOutcome.NOT_SENT, None, "closed as soon as it was open")
-    ended: asyncio.Future[ExchangeResult] = loop.create_future()
-    connection.send(request, _any_answer, ended.set_result)
+        return ExchangeResult(
+            ExchangeOutcome.NOT_SENT, None, "connection closed before the request was sent"
+        )
+    result: asyncio.Future[ExchangeResult] = loop.create_future()
+    connection.send(request, _accept_any_answer, result.set_result)
     try:
         async with asyncio.timeout(timeout_s):
-            return await ended
+            return await result
     except TimeoutError:
         return ExchangeResult(ExchangeOutcome.BROKEN, None, f"no answer within {timeout_s:.1f} s")
     finally:
         connection.abandon()
 
 
-def _any_answer(answer: Response) -> str:
-    """Take whatever comes: one exchange a connection has no answer to take for another."""
+def _accept_any_answer(answer: Response) -> str:
+    """Accept every answer: on a connection with one exchange it cannot belong to another."""
     return ""
--- a/trackwheel/http1/models.py
+++ b/trackwheel/http1/models.py
@@ -1,4 +1,4 @@
-"""Requests, answers and the ends of exchanges with targets."""
+"""Requests, responses and the results of exchanges with targets."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 def header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a header by its lower-case name, None when it is not there."""
+    """Return the first value of a header by its lower-case name, or None."""
     for key, value in headers:
         if key == name:
             return value
@@ -15,10 +15,7 @@
 
 
 class Request(NamedTuple):
-    """Hold one whole request; header names are lower case; `arrived` is monotonic seconds.
-
-    `first_on_connection` says that it is the first one on its connection.
-    """
+    """A complete request; header names are lower case, `arrived` is in seconds of `steady_now`."""
 
     method: bytes
     target: bytes
@@ -29,7 +26,7 @@
 
 
 class Response(NamedTuple):
-    """Hold one whole answer."""
+    """A complete response."""
 
     status: int
     headers: Headers
@@ -37,9 +34,9 @@
 
 
 class ExchangeOutcome(StrEnum):
-    """Say how an exchange with a target ended.
+    """How an exchange with a target ended.
 
-    `CLOSED` says that the target ended the connection before a byte of an answer came.
+    `CLOSED`: the target closed the connection before the first byte of an answer.
     """
 
     ANSWERED = "answered"
@@ -49,8 +46,8 @@
 
 
 class ExchangeResult(NamedTuple):
-    """Tell the end of one exchange; `answer` is there when a whole one came."""
+    """Result of one exchange; `answer` is set if it was received completely."""
 
-    kind: ExchangeOutcome
+    outcome: ExchangeOutcome
     answer: Response | None
     detail: str
--- a/trackwheel/http1/pool.py
+++ b/trackwheel/http1/pool.py
@@ -1,4 +1,4 @@
-"""Connections to one target: reused while fresh, opened on demand, never more than a limit."""
+"""Connection pool for one target, with a limit on connections and on their idle time."""
 
 import asyncio
 from collections import deque
@@ -6,27 +6,27 @@
 from typing import NamedTuple
 
 from trackwheel.clock import steady_now
-from trackwheel.http1.client import Check, ClientConnection, OnEnd
-from trackwheel.http1.const import CONNECT_TIMEOUT_S, ONCE_REUSE_S
+from trackwheel.http1.client import Check, ClientConnection, OnResult
+from trackwheel.http1.const import AT_MOST_ONCE_MAX_IDLE_S, CONNECT_TIMEOUT_S
 from trackwheel.http1.models import ExchangeOutcome, ExchangeResult, Request
 
 
 class Job(NamedTuple):
-    """One exchange that waits for a connection; `build` makes the request when it is sent.
+    """An exchange to be sent; `build` creates the request once a connection is available.
 
-    A request goes under its id, and may go to one target again.
+    A repeat of a request to the same target has the same `request_id` and another `token`.
     """
 
     token: object
     request_id: str
     build: Callable[[], Request]
     check: Check
-    once: bool
-    on_end: OnEnd
+    at_most_once: bool
+    on_result: OnResult
 
 
 class TargetPool:
-    """Send exchanges to one target over a bounded number of connections."""
+    """Send requests to one target over a bounded number of connections."""
 
     def __init__(self, host: str, port: int, limit: int) -> None:
         self._host = host
@@ -39,12 +39,12 @@
         self._open: set[ClientConnection] = set()
 
     def submit(self, job: Job) -> None:
-        """Send a request as soon as a connection is free; `on_end` is called later, once."""
+        """Send a request as soon as a connection is free; `on_result` is called later, once."""
         self._waiting.append(job)
-        self._pump()
+        self._send_waiting()
 
     def cancel(self, token: object) -> bool:
-        """Take an exchange back; return whether it was sent, so that its connection is closed."""
+        """Cancel an exchange; return whether it was already sent and its connection was closed."""
         connection = self._connection_by_token.pop(token, None)
         if connection is not None:
             connection.abandon()
@@ -53,85 +53,89 @@
         return False
 
     def refuse_waiting(self) -> None:
-        """Tell the exchanges that wait for a connection that nothing is sent any more.
+        """End all exchanges that wait for a connection as not sent.
 
-        A target that gets no new work would otherwise get them when a connection comes free, up to
-        their deadlines later: ten seconds, where the bounds are five and less.
+        Otherwise a target that must get no new work would still receive them as connections
+        become free, until their deadlines: up to ten seconds, where at most five are allowed.
         """
-        # One at a time: the end of one may take others back.
+        # One at a time, since a callback may cancel other exchanges.
         while self._waiting:
             job = self._waiting.popleft()
-            job.on_end(
-                ExchangeResult(ExchangeOutcome.NOT_SENT, None, "the target gets no new work")
+            job.on_result(
+                ExchangeResult(ExchangeOutcome.NOT_SENT, None, "target is not accepting new work")
             )
 
     def close(self) -> None:
-        """Close idle connections and stop opening new ones; exchanges under way go on."""
+        """Close idle connections and cancel connection attempts; running exchanges continue."""
         for task in tuple(self._connecting):
             task.cancel()
-        self._drop_idle()
+        self._close_idle()
 
-    def _drop_idle(self) -> None:
-        """Close idle connections; where one has gone silent, older ones mostly have too."""
+    def _close_idle(self) -> None:
+        """Close idle connections; after one has timed out, the others mostly would as well."""
         for connection in tuple(self._idle):
             connection.abandon()
 
     @property
     def unused(self) -> bool:
-        """Return whether nothing is under way or waits."""
+        """Return whether no exchange is running or waiting and no connection is being opened."""
         return not (self._connection_by_token or self._waiting or self._connecting)
 
-    def _pump(self) -> None:
+    def _send_waiting(self) -> None:
         while self._waiting:
             connection = self._take_idle(self._waiting[0])
             if connection is None:
                 break
             self._send(connection, self._waiting.popleft())
-        missing = len(self._waiting) - len(self._connecting)
-        room = self.limit - len(self._open) - len(self._connecting)
-        if missing > 0 and room <= 0 and self._idle:
-            # None of these may be used for what waits; the next one takes its place.
+        needed = len(self._waiting) - len(self._connecting)
+        capacity = self.limit - len(self._open) - len(self._connecting)
+        if needed > 0 and capacity <= 0 and self._idle:
+            # No idle connection may be used for the next job: closing one makes room for a new one.
             self._idle[0].abandon()
             return
-        for _ in range(min(missing, room)):
+        for _ in range(min(needed, capacity)):
             task = asyncio.get_running_loop().create_task(self._connect())
             self._connecting.add(task)
             task.add_done_callback(self._connecting.discard)
 
     def _take_idle(self, job: Job) -> ClientConnection | None:
-        """Take the connection that rested last; one that has rested too long is closed.
+        """Take the most recently used connection; close those that have been idle too long.
 
-        A surplus answer may come late, and its id says only which request it belongs to. On a
-        connection that has carried the same request before, it would be taken for the answer.
+        A connection that has sent the same request before is not used: a late surplus answer to
+        the earlier attempt has the same id and would be taken for the answer to this one.
         """
         now = steady_now()
         for connection in reversed(tuple(self._idle)):
-            rested = now - connection.idle_since
-            bound = min(connection.reuse_s, ONCE_REUSE_S) if job.once else connection.reuse_s
-            if not connection.open or rested >= bound:
+            idle_s = now - connection.idle_since
+            idle_limit_s = (
+                min(connection.max_idle_s, AT_MOST_ONCE_MAX_IDLE_S)
+                if job.at_most_once
+                else connection.max_idle_s
+            )
+            if not connection.open or idle_s >= idle_limit_s:
                 connection.abandon()
-            elif job.request_id not in connection.carried:
+            elif job.request_id not in connection.recent_request_ids:
                 self._idle.remove(connection)
                 return connection
         return None
 
     def _send(self, connection: ClientConnection, job: Job) -> None:
-        def end(result: ExchangeResult) -> None:
+        def finish(result: ExchangeResult) -> None:
             self._connection_by_token.pop(job.token, None)
             if connection.open:
                 self._idle.append(connection)
-            elif connection.silent:
-                self._drop_idle()
-            job.on_end(result)
-            self._pump()
+            elif connection.timed_out:
+                self._close_idle()
+            job.on_result(result)
+            self._send_waiting()
 
         self._connection_by_token[job.token] = connection
-        connection.carried.append(job.request_id)
-        connection.send(job.build(), job.check, end)
+        connection.recent_request_ids.append(job.request_id)
+        connection.send(job.build(), job.check, finish)
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
-        connection = ClientConnection(self._closed)
+        connection = ClientConnection(self._handle_closed)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await loop.create_connection(lambda: connection, self._host, self._port)
@@ -142,23 +146,23 @@
         connection.idle_since = steady_now()
         self._idle.append(connection)
         self._connecting.discard(_current_task())
-        self._pump()
+        self._send_waiting()
 
     def _connect_failed(self, error: Exception) -> None:
-        """Tell the exchange that has waited longest that nothing was sent."""
+        """End the exchange that has waited longest as not sent."""
         self._connecting.discard(_current_task())
         if not self._waiting:
             return
         job = self._waiting.popleft()
-        job.on_end(ExchangeResult(ExchangeOutcome.NOT_SENT, None, f"no connection: {error!r}"))
-        self._pump()
+        job.on_result(ExchangeResult(ExchangeOutcome.NOT_SENT, None, f"cannot connect: {error!r}"))
+        self._send_waiting()
 
-    def _closed(self, connection: ClientConnection) -> None:
+    def _handle_closed(self, connection: ClientConnection) -> None:
         self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
         if self._waiting:
-            asyncio.get_running_loop().call_soon(self._pump)
+            asyncio.get_running_loop().call_soon(self._send_waiting)
 
 
 def _current_task() -> asyncio.Task[None]:
--- a/trackwheel/http1/server.py
+++ b/trackwheel/http1/server.py
@@ -1,4 +1,4 @@
-"""The server side: connections from clients, one request at a time on each."""
+"""HTTP server: connections from clients, handling one request at a time on each."""
 
 import asyncio
 from collections import deque
@@ -9,7 +9,7 @@
 import httptools
 
 from trackwheel.clock import steady_now
-from trackwheel.http1.const import FIRST_REQUEST_WAIT_S, MAX_WAITING_REQUESTS
+from trackwheel.http1.const import MAX_PIPELINED_REQUESTS, NEW_CONNECTION_GRACE_S
 from trackwheel.http1.models import Headers, Request, Response
 from trackwheel.http1.sockets import set_tcp_options
 from trackwheel.routing.models import Limits
@@ -18,24 +18,24 @@
 
 
 class Exchange(Protocol):
-    """Let the handler of a request answer it."""
+    """The handler's side of one request."""
 
     @property
     def on_disconnect(self) -> Callable[[], None] | None:
-        """Return what is called when the client leaves before its answer."""
+        """Return the callback for a client that disconnects before its answer is written."""
 
     @on_disconnect.setter
     def on_disconnect(self, handler: Callable[[], None]) -> None: ...
 
     def respond(self, response: Response) -> None:
-        """Give the one answer; a second one, or one to a client who left, is dropped."""
+        """Send the answer; ignored if one was already sent or the client has disconnected."""
 
 
 Handler = Callable[[Request, Exchange], None]
 
 
 class ServerState:
-    """Hold what all connections of one server share."""
+    """State shared by all connections of one server."""
 
     def __init__(
         self,
@@ -51,36 +51,36 @@
 
     @property
     def busy(self) -> int:
-        """Return how many connections have a request under way."""
+        """Return the number of connections with a request in progress."""
         return sum(connection.busy for connection in self.connections)
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way; new ones may still begin."""
-        newest = steady_now() - FIRST_REQUEST_WAIT_S
+        """Close idle connections, except new ones that may still send their first request."""
+        opened_before = steady_now() - NEW_CONNECTION_GRACE_S
         for connection in tuple(self.connections):
-            if not connection.busy and connection.opened_at < newest:
+            if not connection.busy and connection.opened_at < opened_before:
                 connection.close()
 
 
 class _ServerExchange:
-    """One request and its answer."""
+    """An `Exchange` on a server connection."""
 
-    def __init__(self, connection: "ServerConnection", head_only: bool, keep: bool) -> None:
+    def __init__(self, connection: "ServerConnection", head_only: bool, keep_alive: bool) -> None:
         self._connection = connection
         self._head_only = head_only
-        self._keep = keep
+        self._keep_alive = keep_alive
         self._done = False
         self.on_disconnect: Callable[[], None] | None = None
 
     def respond(self, response: Response) -> None:
-        """Write the answer."""
+        """Write the answer unless the exchange has ended."""
         if self._done:
             return
         self._done = True
-        self._connection.write_answer(response, self._head_only, self._keep)
+        self._connection.write_response(response, self._head_only, self._keep_alive)
 
-    def gone(self) -> None:
-        """Tell the handler that the client left."""
+    def notify_disconnect(self) -> None:
+        """Notify the handler that the client has disconnected."""
         if self._done:
             return
         self._done = True
@@ -96,10 +96,10 @@
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._timer: asyncio.TimerHandle | None = None
-        self._waiting: deque[tuple[Request, bool]] = deque()
+        self._pipelined: deque[tuple[Request, bool]] = deque()
         self._current: _ServerExchange | None = None
-        self._refusing = False
-        self._opening = True
+        self._rejected = False
+        self._first_request = True
         self.opened_at = steady_now()
         self._in_message = False
         self._headers_done = False
@@ -111,43 +111,43 @@
 
     @property
     def busy(self) -> bool:
-        """Return whether a request is being read, waits or is under way."""
-        return self._current is not None or self._in_message or bool(self._waiting)
+        """Return whether a request is being read, queued or handled."""
+        return self._current is not None or self._in_message or bool(self._pipelined)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a new connection."""
-        # uvloop's transports are no subclasses of the one in asyncio.
+        """Register the connection and start its idle timer."""
+        # uvloop's transports do not subclass asyncio.Transport.
         self._transport = cast(asyncio.Transport, transport)
         set_tcp_options(transport)
         self._state.connections.add(self)
         self._set_timer(self._state.limits().idle_s, self.close)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the handlers of unanswered requests that the client left."""
+        """Notify the handler of an unanswered request that the client has disconnected."""
         self._state.connections.discard(self)
         self._stop_timer()
-        self._waiting.clear()
+        self._pipelined.clear()
         current, self._current = self._current, None
         if current is not None:
-            current.gone()
+            current.notify_disconnect()
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser; answer 400 to what is not HTTP."""
-        if self._refusing:
+        """Feed the parser; answer 400 to invalid HTTP and 431 to oversized headers."""
+        if self._rejected:
             return
         if not self._headers_done:
             self._header_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._refuse(HTTPStatus.BAD_REQUEST)
+            self._reject(HTTPStatus.BAD_REQUEST)
             return
         limits = self._state.limits()
         if not self._headers_done and self._header_bytes > limits.header_bytes:
-            self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_message_begin(self) -> None:
-        """Begin a request; its headers must be in within the limit."""
+        """Start a request and the timeout for its headers."""
         self._in_message = True
         self._headers_done = False
         self._url = b""
@@ -158,38 +158,38 @@
             self._set_timer(self._state.limits().header_s, self._header_timeout)
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request target."""
+        """Add a chunk of the request target."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Add a header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Check the announced size and go on to the body."""
+        """Check the announced body size and confirm `Expect: 100-continue`."""
         self._headers_done = True
         self._header_bytes = 0
         if self._current is None:
             self._set_timer(self._state.limits().idle_s, self._header_timeout)
         for name, value in self._headers:
             if name == b"content-length" and int(value) > self._state.limits().body_bytes:
-                self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
-            if name == b"expect" and self._transport is not None and not self._refusing:
+                self._reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            if name == b"expect" and self._transport is not None and not self._rejected:
                 self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Add a chunk of the body."""
         self._body_bytes += len(body)
         if self._body_bytes > self._state.limits().body_bytes:
-            self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            self._reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
             return
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Queue the whole request."""
+        """Queue the complete request."""
         self._in_message = False
         self._headers_done = False
-        if self._refusing:
+        if self._rejected:
             return
         method = self._parser.get_method()
         request = Request(
@@ -198,57 +198,57 @@
             tuple(self._headers),
             b"".join(self._body),
             steady_now(),
-            self._opening,
+            self._first_request,
         )
-        self._opening = False
-        self._waiting.append((request, self._parser.should_keep_alive()))
-        if len(self._waiting) >= MAX_WAITING_REQUESTS and self._transport is not None:
+        self._first_request = False
+        self._pipelined.append((request, self._parser.should_keep_alive()))
+        if len(self._pipelined) >= MAX_PIPELINED_REQUESTS and self._transport is not None:
             self._transport.pause_reading()
-        self._next()
+        self._handle_next()
 
-    def write_answer(self, response: Response, head_only: bool, keep: bool) -> None:
-        """Write the answer to the current request and go on to the next one."""
+    def write_response(self, response: Response, head_only: bool, keep_alive: bool) -> None:
+        """Write the answer to the current request and handle the next one."""
         self._current = None
         transport = self._transport
         if transport is None or transport.is_closing():
             return
-        keep = keep and not self._state.stopping
-        transport.write(encode_response(response, head_only, keep))
-        if not keep:
+        keep_alive = keep_alive and not self._state.stopping
+        transport.write(encode_response(response, head_only, keep_alive))
+        if not keep_alive:
             self._stop_timer()
             transport.close()
             return
-        if len(self._waiting) < MAX_WAITING_REQUESTS:
+        if len(self._pipelined) < MAX_PIPELINED_REQUESTS:
             transport.resume_reading()
-        self._next()
+        self._handle_next()
 
     def close(self) -> None:
-        """Close the connection once what was written has gone out."""
+        """Close the connection after flushing the written data."""
         if self._transport is not None:
             self._transport.close()
 
-    def _next(self) -> None:
-        """Hand the next request to the handler unless one is under way."""
+    def _handle_next(self) -> None:
+        """Pass the next request to the handler unless one is in progress."""
         if self._current is not None:
             return
-        if not self._waiting:
+        if not self._pipelined:
             if not self._in_message:
                 self._set_timer(self._state.limits().idle_s, self.close)
             return
         self._stop_timer()
-        request, keep = self._waiting.popleft()
-        exchange = _ServerExchange(self, request.method == b"HEAD", keep)
+        request, keep_alive = self._pipelined.popleft()
+        exchange = _ServerExchange(self, request.method == b"HEAD", keep_alive)
         self._current = exchange
         self._state.handler(request, exchange)
 
     def _header_timeout(self) -> None:
-        self._refuse(HTTPStatus.REQUEST_TIMEOUT)
+        self._reject(HTTPStatus.REQUEST_TIMEOUT)
 
-    def _refuse(self, status: HTTPStatus) -> None:
-        """Answer a request that was not read to its end, and close."""
-        if self._refusing or self._transport is None or self._transport.is_closing():
+    def _reject(self, status: HTTPStatus) -> None:
+        """Answer an incomplete request with an error status and close the connection."""
+        if self._rejected or self._transport is None or self._transport.is_closing():
             return
-        self._refusing = True
+        self._rejected = True
         self._stop_timer()
         self._state.on_refused(status.value)
         if self._current is None:
@@ -265,15 +265,15 @@
             self._timer = None
 
 
-def encode_response(response: Response, head_only: bool, keep: bool) -> bytes:
-    """Return an answer's bytes, with its length and whether the connection stays."""
+def encode_response(response: Response, head_only: bool, keep_alive: bool) -> bytes:
+    """Return a response as bytes, with Content-Length and Connection headers as needed."""
     reason = _REASON_BY_STATUS.get(response.status, b"Status")
     lines = [b"HTTP/1.1 %d %s\r\n" % (response.status, reason)]
     lines += [b"%s: %s\r\n" % pair for pair in response.headers]
-    length = _announced_length(response.headers)
+    length = _content_length(response.headers)
     if length is None:
         lines.append(b"content-length: %d\r\n" % len(response.body))
-    if not keep:
+    if not keep_alive:
         lines.append(b"connection: close\r\n")
     lines.append(b"\r\n")
     if not head_only:
@@ -281,5 +281,5 @@
     return b"".join(lines)
 
 
-def _announced_length(headers: Headers) -> bytes | None:
+def _content_length(headers: Headers) -> bytes | None:
     return next((value for name, value in headers if name == b"content-length"), None)
--- a/trackwheel/http1/sockets.py
+++ b/trackwheel/http1/sockets.py
@@ -1,4 +1,4 @@
-"""Socket options by which silent peers are noticed."""
+"""TCP options that detect unresponsive peers."""
 
 import asyncio
 import socket
@@ -14,10 +14,10 @@
 def set_tcp_options(
     transport: asyncio.BaseTransport, user_timeout_ms: int = TCP_USER_TIMEOUT_MS
 ) -> None:
-    """Let the kernel report a peer that acknowledges nothing, and send without delay.
+    """Set TCP_NODELAY, TCP_USER_TIMEOUT and keep-alive on a connection.
 
-    `user_timeout_ms` is how long sent bytes may wait for that; an idle connection is asked now
-    and then whether its other end is still there.
+    `user_timeout_ms` bounds how long sent data may stay unacknowledged; keep-alive probes detect
+    an unresponsive peer on an idle connection.
     """
     sock = transport.get_extra_info("socket")
     if sock is None:
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -172,7 +172,7 @@
     def _read(self, end: ExchangeResult, single: bool) -> TargetEnd:
         if end.answer is not None:
             return self._wire.read_end(end.answer, single)
-        return TargetEnd(_OUTCOME_BY_KIND[end.kind], None, b"", None, end.detail)
+        return TargetEnd(_OUTCOME_BY_KIND[end.outcome], None, b"", None, end.detail)
 
     def _pool(self, target: Target) -> TargetPool:
         pool = self._pool_by_life.get(target.life)
