--- a/tests/files/test_apply.py
+++ b/tests/files/test_apply.py
@@ -19,7 +19,7 @@
     WriteManifest,
 )
 from trackwheel.files.models import EMPTY_MANIFEST, Manifest, ManifestEntry
-from trackwheel.storage.models import Written
+from trackwheel.storage.models import WriteResult
 
 
 class Store:
@@ -30,13 +30,13 @@
         self.revision = 0
         self.history: list[Manifest] = []
 
-    def write(self, manifest: Manifest, revision: int) -> Written:
+    def write(self, manifest: Manifest, revision: int) -> WriteResult:
         if revision != self.revision:
-            return Written(False, self.revision)
+            return WriteResult(False, self.revision)
         self.revision += 1
         self.manifest = manifest
         self.history.append(manifest)
-        return Written(True, self.revision)
+        return WriteResult(True, self.revision)
 
 
 def wish(name: str, who: str, expected: int | None = None) -> Wish:
--- a/tests/files/test_stored.py
+++ b/tests/files/test_stored.py
@@ -20,7 +20,7 @@
     page_of,
 )
 from trackwheel.storage.errors import PlatformError, platform_error
-from trackwheel.storage.models import Stored, Written
+from trackwheel.storage.models import StoredValue, WriteResult
 
 ON_ONE_PAGE = [name for name in map(str, range(2000)) if page_of(name) == 3][:4]
 
@@ -36,41 +36,41 @@
     """Hold keys; every call gives the turn away before and after it takes effect."""
 
     def __init__(self) -> None:
-        self.stored_by_key: dict[str, Stored] = {}
+        self.stored_by_key: dict[str, StoredValue] = {}
         self.revision = 0
         self.faults: list[str] = []
         self.largest = 0
         self.bytes_moved = 0
 
-    async def get(self, key: str) -> Result[Stored, PlatformError]:
+    async def get(self, key: str) -> Result[StoredValue, PlatformError]:
         await Turn()
         fault = self.faults.pop() if self.faults else ""
         if fault:
             return Failure(platform_error("get", "store", fault))
-        stored = self.stored_by_key.get(key, Stored(b"", 0))
+        stored = self.stored_by_key.get(key, StoredValue(b"", 0))
         self.bytes_moved += len(stored.value)
         await Turn()
         return Success(stored)
 
-    async def watch(self, key: str, after: int) -> Result[Stored, PlatformError]:
+    async def watch(self, key: str, after: int) -> Result[StoredValue, PlatformError]:
         return await self.get(key)
 
     async def compare_and_swap(
         self, key: str, value: bytes, revision: int
-    ) -> Result[Written, PlatformError]:
+    ) -> Result[WriteResult, PlatformError]:
         await Turn()
         fault = self.faults.pop() if self.faults else ""
-        current = self.stored_by_key.get(key, Stored(b"", 0)).revision
+        current = self.stored_by_key.get(key, StoredValue(b"", 0)).revision
         written = revision == current and fault != "down"
         if written:
             self.revision += 1
-            self.stored_by_key[key] = Stored(value, self.revision)
+            self.stored_by_key[key] = StoredValue(value, self.revision)
             self.largest = max(self.largest, len(value))
             self.bytes_moved += len(value)
         await Turn()
         if fault:
             return Failure(platform_error("put", "store", fault))
-        return Success(Written(written, self.revision if written else current))
+        return Success(WriteResult(written, self.revision if written else current))
 
 
 def manifest_after(manifest: Manifest, name: str, apply_id: str) -> Manifest:
--- a/tests/storage/test_clients.py
+++ b/tests/storage/test_clients.py
@@ -13,7 +13,7 @@
 from standins.http import listen
 from standins.key_value import StandinKeyValue
 from trackwheel.storage.clients import HttpBoxList, HttpKeyValue
-from trackwheel.storage.models import BoxList, Stored, Written
+from trackwheel.storage.models import BoxList, StoredValue, WriteResult
 
 Test = Callable[[HttpKeyValue, StandinKeyValue], Coroutine[Any, Any, None]]
 
@@ -37,7 +37,7 @@
 
 def test_key_without_a_value_has_revision_zero() -> None:
     async def test(client: HttpKeyValue, store: StandinKeyValue) -> None:
-        assert await client.get("a/b") == Success(Stored(b"", 0))
+        assert await client.get("a/b") == Success(StoredValue(b"", 0))
 
     with_store(test)
 
@@ -47,9 +47,9 @@
         first = (await client.compare_and_swap("k", b"\x00one", 0)).unwrap()
         assert first.written
         assert await client.compare_and_swap("k", b"two", 0) == Success(
-            Written(False, first.revision)
+            WriteResult(False, first.revision)
         )
-        assert await client.get("k") == Success(Stored(b"\x00one", first.revision))
+        assert await client.get("k") == Success(StoredValue(b"\x00one", first.revision))
         second = (await client.compare_and_swap("k", b"two", first.revision)).unwrap()
         assert second.written
         assert second.revision > first.revision
@@ -71,7 +71,7 @@
 def test_watch_ends_with_the_next_write() -> None:
     async def test(client: HttpKeyValue, store: StandinKeyValue) -> None:
         written = (await client.compare_and_swap("k", b"one", 0)).unwrap()
-        seen: list[Stored] = []
+        seen: list[StoredValue] = []
 
         async def watch() -> None:
             seen.append((await client.watch("k", written.revision)).unwrap())
@@ -92,7 +92,7 @@
         written = (await client.compare_and_swap("k", b"one", 0)).unwrap()
         with anyio.fail_after(2.0):
             stored = (await client.watch("k", written.revision + 7)).unwrap()
-        assert stored == Stored(b"one", written.revision)
+        assert stored == StoredValue(b"one", written.revision)
 
     with_store(test)
 
--- a/tests/storage/test_held.py
+++ b/tests/storage/test_held.py
@@ -9,7 +9,7 @@
 from trackwheel.quarantine.models import HeldRequest
 from trackwheel.storage.errors import PlatformError, platform_error
 from trackwheel.storage.held import KeyValueHeldStore
-from trackwheel.storage.models import Stored, Written
+from trackwheel.storage.models import StoredValue, WriteResult
 
 ONE, OTHER = b"\x01", b"\x02"
 
@@ -18,27 +18,27 @@
     """Hold one value; `races` writers come in between a read and a write."""
 
     def __init__(self, value: bytes = b"", races: int = 0) -> None:
-        self.stored = Stored(value, 1 if value else 0)
+        self.stored = StoredValue(value, 1 if value else 0)
         self.races = races
         self.down = False
 
-    async def get(self, key: str) -> Result[Stored, PlatformError]:
+    async def get(self, key: str) -> Result[StoredValue, PlatformError]:
         if self.down:
             return Failure(platform_error("get", key, "down"))
         return Success(self.stored)
 
     async def compare_and_swap(
         self, key: str, value: bytes, revision: int
-    ) -> Result[Written, PlatformError]:
+    ) -> Result[WriteResult, PlatformError]:
         if self.races:
             self.races -= 1
             self.stored = self.stored._replace(revision=self.stored.revision + 1)
         if revision != self.stored.revision:
-            return Success(Written(False, self.stored.revision))
-        self.stored = Stored(value, revision + 1)
-        return Success(Written(True, revision + 1))
+            return Success(WriteResult(False, self.stored.revision))
+        self.stored = StoredValue(value, revision + 1)
+        return Success(WriteResult(True, revision + 1))
 
-    async def watch(self, key: str, after: int) -> Result[Stored, PlatformError]:
+    async def watch(self, key: str, after: int) -> Result[StoredValue, PlatformError]:
         raise NotImplementedError
 
 
--- a/trackwheel/files/applier.py
+++ b/trackwheel/files/applier.py
@@ -28,7 +28,7 @@
 from trackwheel.files.parse import parse_file
 from trackwheel.files.stored import Read, StoredManifests
 from trackwheel.storage.errors import PlatformError
-from trackwheel.storage.models import KeyValueClient, Stored
+from trackwheel.storage.models import KeyValueClient, StoredValue
 
 OnAccepted = Callable[[dict[str, bytes], Manifest], None]
 
@@ -150,7 +150,7 @@
 
     async def _read_content(self, digest: str) -> bytes:
         result = await self._store.get(KEY_CONTENT_PREFIX + digest)
-        stored = result.value_or(Stored(b"", 0))
+        stored = result.value_or(StoredValue(b"", 0))
         if stored.revision:
             return stored.value
         detail = "the other files in force could not be read"
--- a/trackwheel/files/apply.py
+++ b/trackwheel/files/apply.py
@@ -10,7 +10,7 @@
 from trackwheel.files.const import MAX_RECENT_APPLIES
 from trackwheel.files.keeper import is_newer
 from trackwheel.files.models import Manifest, ManifestEntry
-from trackwheel.storage.models import Written
+from trackwheel.storage.models import WriteResult
 
 
 class ApplyOutcome(StrEnum):
@@ -110,7 +110,7 @@
         self._attempted = True
         return WriteManifest(self._manifest, self._revision)
 
-    def written(self, written: Written) -> ApplyCommand:
+    def written(self, written: WriteResult) -> ApplyCommand:
         """Take the store's answer to the write."""
         assert self._manifest is not None, "a manifest was read"
         if written.written:
--- a/trackwheel/files/stored.py
+++ b/trackwheel/files/stored.py
@@ -22,7 +22,7 @@
 )
 from trackwheel.files.models import Manifest, ManifestEntry
 from trackwheel.storage.errors import PlatformError, platform_error
-from trackwheel.storage.models import KeyValueClient, Stored, Written
+from trackwheel.storage.models import KeyValueClient, StoredValue, WriteResult
 
 EntryByName = dict[str, ManifestEntry]
 
@@ -122,10 +122,10 @@
         result = await self._store.watch(KEY_MANIFEST, after)
         return await self._assembled(result)
 
-    async def write(self, manifest: Manifest, revision: int) -> Result[Written, PlatformError]:
+    async def write(self, manifest: Manifest, revision: int) -> Result[WriteResult, PlatformError]:
         """Write a manifest if the head's key has the revision that was read last."""
         if revision != self._head_key_revision:
-            return Success(Written(False, self._head_key_revision))
+            return Success(WriteResult(False, self._head_key_revision))
         head, entries_by_page = self._head, split_pages(manifest)
         digest_by_page = {page: page_digest(entries) for page, entries in entries_by_page.items()}
         for number, digest in sorted(digest_by_page.items()):
@@ -143,7 +143,7 @@
 
     async def _write_page(
         self, number: int, committed: str | None, new: Generation
-    ) -> Result[Written, PlatformError]:
+    ) -> Result[WriteResult, PlatformError]:
         key = f"{KEY_PAGE_PREFIX}{number}"
         result = await self._store.get(key)
         if not isinstance(result, Success):
@@ -154,7 +154,7 @@
         return await self._store.compare_and_swap(key, value, stored.revision)
 
     async def _assembled(
-        self, result: Result[Stored, PlatformError]
+        self, result: Result[StoredValue, PlatformError]
     ) -> Result[Read, PlatformError]:
         if not isinstance(result, Success):
             return Failure(result.failure())
--- a/trackwheel/storage/clients.py
+++ b/trackwheel/storage/clients.py
@@ -14,7 +14,7 @@
     WATCH_WAIT_S,
 )
 from trackwheel.storage.errors import PlatformError, platform_error
-from trackwheel.storage.models import BoxList, Stored, Written
+from trackwheel.storage.models import BoxList, StoredValue, WriteResult
 
 
 class _Value(msgspec.Struct):
@@ -39,11 +39,11 @@
         """Close all connections."""
         await self._client.aclose()
 
-    async def get(self, key: str) -> Result[Stored, PlatformError]:
+    async def get(self, key: str) -> Result[StoredValue, PlatformError]:
         """Return a key's value."""
         return await self._read("get", f"/kv/{key}", {}, CALL_TIMEOUT_S)
 
-    async def watch(self, key: str, after: int) -> Result[Stored, PlatformError]:
+    async def watch(self, key: str, after: int) -> Result[StoredValue, PlatformError]:
         """Return a key's value when its revision is another one, or after some seconds."""
         parameters = {"after": str(after), "wait_s": str(WATCH_WAIT_S)}
         timeout_s = WATCH_WAIT_S + CALL_TIMEOUT_S
@@ -51,7 +51,7 @@
 
     async def compare_and_swap(
         self, key: str, value: bytes, revision: int
-    ) -> Result[Written, PlatformError]:
+    ) -> Result[WriteResult, PlatformError]:
         """Write a value if the key has a revision; a failure may have taken effect."""
         self.calls += 1
         body = {"value": base64.b64encode(value).decode(), "if_revision": revision}
@@ -62,11 +62,11 @@
             reply = msgspec.json.decode(response.content, type=_WriteReply)
         except (httpx.HTTPError, msgspec.DecodeError) as error:
             return self._failure("compare_and_swap", error)
-        return Success(Written(reply.written, reply.revision))
+        return Success(WriteResult(reply.written, reply.revision))
 
     async def _read(
         self, step: str, path: str, parameters: dict[str, str], timeout_s: float
-    ) -> Result[Stored, PlatformError]:
+    ) -> Result[StoredValue, PlatformError]:
         self.calls += 1
         try:
             response = await self._client.get(
@@ -78,7 +78,7 @@
             value = base64.b64decode(reply.value or "", validate=True)
         except (httpx.HTTPError, msgspec.DecodeError, binascii.Error) as error:
             return self._failure(step, error)
-        return Success(Stored(value, reply.revision))
+        return Success(StoredValue(value, reply.revision))
 
     def _failure(self, step: str, error: object) -> Failure[PlatformError]:
         return Failure(platform_error(step, self._url, error))
--- a/trackwheel/storage/held.py
+++ b/trackwheel/storage/held.py
@@ -9,7 +9,7 @@
 from trackwheel.errors import TrackwheelError
 from trackwheel.quarantine.models import HeldRequest
 from trackwheel.storage.errors import platform_error
-from trackwheel.storage.models import KeyValueClient, Stored
+from trackwheel.storage.models import KeyValueClient, StoredValue
 from trackwheel.units import MILLISECONDS
 
 KEY: Final = "trackwheel/held"
@@ -59,7 +59,7 @@
                 return failure.map(lambda _: None)
 
 
-def _held_requests(stored: Stored) -> list[HeldRequest]:
+def _held_requests(stored: StoredValue) -> list[HeldRequest]:
     now_ms = time.time() * MILLISECONDS
     return [
         HeldRequest(bytes.fromhex(name), over_ms - now_ms)
@@ -67,7 +67,7 @@
     ]
 
 
-def _decode(stored: Stored) -> OverByRequest:
+def _decode(stored: StoredValue) -> OverByRequest:
     """Return what a value says; one that nobody can read says nothing."""
     try:
         over_by_request = msgspec.json.decode(stored.value or b"{}", type=OverByRequest)
--- a/trackwheel/storage/models.py
+++ b/trackwheel/storage/models.py
@@ -8,14 +8,14 @@
 from trackwheel.storage.errors import PlatformError
 
 
-class Stored(NamedTuple):
+class StoredValue(NamedTuple):
     """Hold a key's value and its revision; revision 0 means that there is no value."""
 
     value: bytes
     revision: int
 
 
-class Written(NamedTuple):
+class WriteResult(NamedTuple):
     """Say whether a compare-and-swap took effect, and the key's revision after it."""
 
     written: bool
@@ -32,15 +32,15 @@
 class KeyValueClient(Protocol):
     """Call the platform's key-value service."""
 
-    async def get(self, key: str) -> Result[Stored, PlatformError]:
+    async def get(self, key: str) -> Result[StoredValue, PlatformError]:
         """Return a key's value."""
 
     async def compare_and_swap(
         self, key: str, value: bytes, revision: int
-    ) -> Result[Written, PlatformError]:
+    ) -> Result[WriteResult, PlatformError]:
         """Write a value if the key has a revision; a failure may have taken effect."""
 
-    async def watch(self, key: str, after: int) -> Result[Stored, PlatformError]:
+    async def watch(self, key: str, after: int) -> Result[StoredValue, PlatformError]:
         """Return a key's value when its revision is another one, or after some seconds."""
 
 
