--- a/tests/storage/test_clients.py
+++ b/tests/storage/test_clients.py
@@ -1,4 +1,4 @@
-"""The contract of the platform's services, client against stand-in, with what fails in a table."""
+"""The clients of the platform's services, tested with stand-ins and injected failures."""
 
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
@@ -19,7 +19,7 @@
 
 
 def with_store(test: Test, timeout_s: float = 2.0) -> None:
-    """Run a test against a key-value service of its own."""
+    """Run a test with a key-value service of its own."""
 
     async def main() -> None:
         address = f"127.0.0.1:{free_ports(1)[0]}"
@@ -42,7 +42,7 @@
     with_store(test)
 
 
-def test_only_the_writer_who_knows_the_revision_wins() -> None:
+def test_compare_and_swap_requires_the_current_revision() -> None:
     async def test(client: HttpKeyValue, store: StandinKeyValue) -> None:
         first = (await client.compare_and_swap("k", b"\x00one", 0)).unwrap()
         assert first.written
@@ -57,7 +57,7 @@
     with_store(test)
 
 
-def test_lost_reply_is_a_failure_that_took_effect() -> None:
+def test_write_with_a_lost_reply_fails_but_takes_effect() -> None:
     async def test(client: HttpKeyValue, store: StandinKeyValue) -> None:
         store.faults.lose_replies = 1
         result = await client.compare_and_swap("k", b"one", 0)
@@ -68,7 +68,7 @@
     with_store(test)
 
 
-def test_watch_ends_with_the_next_write() -> None:
+def test_watch_returns_on_the_next_write() -> None:
     async def test(client: HttpKeyValue, store: StandinKeyValue) -> None:
         written = (await client.compare_and_swap("k", b"one", 0)).unwrap()
         seen: list[StoredValue] = []
@@ -87,7 +87,7 @@
     with_store(test)
 
 
-def test_watch_ends_at_once_when_the_store_was_set_back() -> None:
+def test_watch_returns_at_once_if_the_revision_has_gone_back() -> None:
     async def test(client: HttpKeyValue, store: StandinKeyValue) -> None:
         written = (await client.compare_and_swap("k", b"one", 0)).unwrap()
         with anyio.fail_after(2.0):
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_outage_is_a_failure_that_names_the_step(call: Call) -> None:
+def test_outage_is_a_failure_that_names_the_service(call: Call) -> None:
     async def test(client: HttpKeyValue, store: StandinKeyValue) -> None:
         store.faults.down = True
         result = await call(client)
@@ -117,7 +117,7 @@
     with_store(test)
 
 
-def test_slow_write_is_a_failure_in_time() -> None:
+def test_slow_write_times_out() -> None:
     async def test(client: HttpKeyValue, store: StandinKeyValue) -> None:
         store.faults.slow_s = 5.0
         with anyio.fail_after(2.0):
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"{", b"[]", b'{"value": "?", "revision": 1}', b'{"value": 3}'], ids=repr
 )
-def test_garbage_is_a_failure(call: Call, body: bytes) -> None:
+def test_invalid_reply_is_a_failure(call: Call, body: bytes) -> None:
     async def main() -> None:
         address = f"127.0.0.1:{free_ports(1)[0]}"
 
@@ -148,7 +148,7 @@
     anyio.run(main)
 
 
-def test_box_list_is_read_as_it_stands() -> None:
+def test_box_list_is_read() -> None:
     async def main() -> None:
         address = f"127.0.0.1:{free_ports(1)[0]}"
         running = await StandinBoxList(["127.0.0.1:1"]).start(address)
--- a/tests/storage/test_held.py
+++ b/tests/storage/test_held.py
@@ -1,4 +1,4 @@
-"""Held requests in one value of the key-value service, with other writers and with rubbish."""
+"""The store of held requests, with concurrent writers and invalid stored values."""
 
 import asyncio
 import time
@@ -15,11 +15,11 @@
 
 
 class Store:
-    """Hold one value; `races` writers come in between a read and a write."""
+    """An in-memory key; `conflicts` is the number of writes that another writer precedes."""
 
-    def __init__(self, value: bytes = b"", races: int = 0) -> None:
+    def __init__(self, value: bytes = b"", conflicts: int = 0) -> None:
         self.stored = StoredValue(value, 1 if value else 0)
-        self.races = races
+        self.conflicts = conflicts
         self.down = False
 
     async def get(self, key: str) -> Result[StoredValue, PlatformError]:
@@ -30,8 +30,8 @@
     async def compare_and_swap(
         self, key: str, value: bytes, revision: int
     ) -> Result[WriteResult, PlatformError]:
-        if self.races:
-            self.races -= 1
+        if self.conflicts:
+            self.conflicts -= 1
             self.stored = self.stored._replace(revision=self.stored.revision + 1)
         if revision != self.stored.revision:
             return Success(WriteResult(False, self.stored.revision))
@@ -53,7 +53,7 @@
     )
 
 
-def test_what_is_kept_is_read_with_the_time_that_is_left() -> None:
+def test_held_requests_are_read_with_their_remaining_time() -> None:
     store = Store()
     assert keep(store, ONE)
     assert keep(store, OTHER)
@@ -63,29 +63,29 @@
     assert held(store).keys() == {OTHER}
 
 
-def test_what_is_over_goes_with_the_next_change() -> None:
-    over = b'{"01": %d}' % (time.time() * 1000 - 1)
-    store = Store(over)
+def test_expired_request_is_removed_by_the_next_write() -> None:
+    expired = b'{"01": %d}' % (time.time() * 1000 - 1)
+    store = Store(expired)
     assert keep(store, OTHER)
     assert held(store).keys() == {OTHER}
 
 
-def test_writer_that_was_too_late_says_so_and_loses_nothing() -> None:
-    store = Store(b'{"02": 9e15}', races=1)
+def test_conflicting_write_fails_and_keeps_the_stored_requests() -> None:
+    store = Store(b'{"02": 9e15}', conflicts=1)
     assert not keep(store, ONE)
     assert keep(store, ONE)
     assert held(store).keys() == {ONE, OTHER}
 
 
 @pytest.mark.parametrize("value", [b"rubbish", b"[]", b'{"zz": 9e15}', b'{"01": "x"}'])
-def test_rubbish_holds_nothing_and_is_written_over(value: bytes) -> None:
+def test_invalid_value_is_empty_and_overwritten(value: bytes) -> None:
     store = Store(value)
     assert held(store) == {}
     assert keep(store, ONE)
     assert held(store).keys() == {ONE}
 
 
-def test_store_that_is_away_is_told() -> None:
+def test_unavailable_store_is_a_failure() -> None:
     store = Store()
     store.down = True
     assert not keep(store, ONE)
--- a/trackwheel/storage/__init__.py
+++ b/trackwheel/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The edge towards the key-value service and the box list of the product's own interface."""
+"""Clients of the platform's key-value service and box list."""
--- a/trackwheel/storage/clients.py
+++ b/trackwheel/storage/clients.py
@@ -1,4 +1,4 @@
-"""The clients of the platform's services over HTTP, as docs/PLATFORM.md describes them."""
+"""HTTP clients of the platform's services, whose API is described in docs/PLATFORM.md."""
 
 import base64
 import binascii
@@ -17,7 +17,7 @@
 from trackwheel.storage.models import BoxList, StoredValue, WriteResult
 
 
-class _Value(msgspec.Struct):
+class _ReadReply(msgspec.Struct):
     value: str | None
     revision: int
 
@@ -28,7 +28,7 @@
 
 
 class HttpKeyValue:
-    """Call the key-value service with httpx."""
+    """Client of the key-value service, based on httpx."""
 
     def __init__(self, url: str, timeout_s: float = CALL_TIMEOUT_S) -> None:
         self._url = url
@@ -40,11 +40,11 @@
         await self._client.aclose()
 
     async def get(self, key: str) -> Result[StoredValue, PlatformError]:
-        """Return a key's value."""
+        """Return the value of a key."""
         return await self._read("get", f"/kv/{key}", {}, CALL_TIMEOUT_S)
 
     async def watch(self, key: str, after: int) -> Result[StoredValue, PlatformError]:
-        """Return a key's value when its revision is another one, or after some seconds."""
+        """Return the value of a key once its revision differs from `after`, or after a timeout."""
         parameters = {"after": str(after), "wait_s": str(WATCH_WAIT_S)}
         timeout_s = WATCH_WAIT_S + CALL_TIMEOUT_S
         return await self._read("watch", f"/watch/{key}", parameters, timeout_s)
@@ -52,7 +52,7 @@
     async def compare_and_swap(
         self, key: str, value: bytes, revision: int
     ) -> Result[WriteResult, PlatformError]:
-        """Write a value if the key has a revision; a failure may have taken effect."""
+        """Write a value if the key has the given revision; a failed call may have taken effect."""
         self.calls += 1
         body = {"value": base64.b64encode(value).decode(), "if_revision": revision}
         try:
@@ -74,7 +74,7 @@
             )
             if response.status_code != STATUS_OK:
                 return self._failure(step, f"status {response.status_code}")
-            reply = msgspec.json.decode(response.content, type=_Value)
+            reply = msgspec.json.decode(response.content, type=_ReadReply)
             value = base64.b64decode(reply.value or "", validate=True)
         except (httpx.HTTPError, msgspec.DecodeError, binascii.Error) as error:
             return self._failure(step, error)
@@ -85,7 +85,7 @@
 
 
 class HttpBoxList:
-    """Read the box list with httpx."""
+    """Client of the box list, based on httpx."""
 
     def __init__(self, url: str) -> None:
         self._url = url
@@ -96,7 +96,7 @@
         await self._client.aclose()
 
     async def read(self) -> Result[BoxList, PlatformError]:
-        """Return the list as it stands."""
+        """Return the current list."""
         try:
             response = await self._client.get(f"{self._url}/boxes")
             if response.status_code != STATUS_OK:
--- a/trackwheel/storage/const.py
+++ b/trackwheel/storage/const.py
@@ -1,4 +1,4 @@
-"""Numbers of the edge towards the platform."""
+"""Timeouts and HTTP statuses of the platform's services."""
 
 from typing import Final
 
@@ -6,4 +6,4 @@
 WATCH_WAIT_S: Final = 10.0
 STATUS_OK: Final = 200
 STATUS_CONFLICT: Final = 409
-"""The key-value service answers so when a key has another revision than was expected."""
+"""Sent by the key-value service if the key does not have the expected revision."""
--- a/trackwheel/storage/held.py
+++ b/trackwheel/storage/held.py
@@ -1,4 +1,4 @@
-"""Held requests in the platform's key-value service, all in one value."""
+"""Store of held requests under a single key of the platform's key-value service."""
 
 import time
 from typing import Final
@@ -14,65 +14,73 @@
 
 KEY: Final = "trackwheel/held"
 
-OverByRequest = dict[str, float]
-"""When each request is over (Unix milliseconds), by its fingerprint in hexadecimal."""
+ExpiryByFingerprint = dict[str, float]
+"""Expiry of each held request (Unix milliseconds) by its fingerprint in hexadecimal."""
 
 
 class KeyValueHeldStore:
-    """Read the value, change it, write it back if nobody else has; who was too late tries again."""
+    """Update the value with compare-and-swap; the caller retries after a conflicting write."""
 
     era: Final = 0
-    """This service loses nothing that it has taken."""
+    """Constant, since the key-value service never loses a value that it has stored."""
 
     def __init__(self, client: KeyValueClient) -> None:
         self._client = client
 
     async def read(self) -> Result[list[HeldRequest], TrackwheelError]:
-        """Return the requests that are held."""
-        return (await self._client.get(KEY)).map(_held_requests)
+        """Return the held requests."""
+        return (await self._client.get(KEY)).map(_to_held_requests)
 
     async def keep(self, held: HeldRequest) -> Result[None, TrackwheelError]:
         """Write that a request is held."""
-        over_ms = time.time() * MILLISECONDS + held.left_ms
-        return await self._change(held.fingerprint, over_ms)
+        expires_at_ms = time.time() * MILLISECONDS + held.left_ms
+        return await self._update(held.fingerprint, expires_at_ms)
 
     async def forget(self, fingerprint: bytes) -> Result[None, TrackwheelError]:
         """Remove what is written of a request."""
-        return await self._change(fingerprint, 0.0)
+        return await self._update(fingerprint, 0.0)
 
-    async def _change(self, fingerprint: bytes, over_ms: float) -> Result[None, TrackwheelError]:
+    async def _update(
+        self, fingerprint: bytes, expires_at_ms: float
+    ) -> Result[None, TrackwheelError]:
         match await self._client.get(KEY):
             case Success(stored):
-                changed = {**_decode(stored), fingerprint.hex(): over_ms}
+                updated = {**_decode(stored), fingerprint.hex(): expires_at_ms}
                 now_ms = time.time() * MILLISECONDS
-                kept = {name: over for name, over in changed.items() if over > now_ms}
-                value = msgspec.json.encode(kept)
+                unexpired = {
+                    fingerprint_hex: expires_at
+                    for fingerprint_hex, expires_at in updated.items()
+                    if expires_at > now_ms
+                }
+                value = msgspec.json.encode(unexpired)
                 written = await self._client.compare_and_swap(KEY, value, stored.revision)
                 return written.bind(
                     lambda reply: (
                         Success(None)
                         if reply.written
-                        else Failure(platform_error("held", KEY, "another box wrote meanwhile"))
+                        else Failure(
+                            platform_error("held", KEY, "written concurrently by another box")
+                        )
                     )
                 )
             case failure:
                 return failure.map(lambda _: None)
 
 
-def _held_requests(stored: StoredValue) -> list[HeldRequest]:
+def _to_held_requests(stored: StoredValue) -> list[HeldRequest]:
     now_ms = time.time() * MILLISECONDS
     return [
-        HeldRequest(bytes.fromhex(name), over_ms - now_ms)
-        for name, over_ms in _decode(stored).items()
+        HeldRequest(bytes.fromhex(fingerprint_hex), expires_at_ms - now_ms)
+        for fingerprint_hex, expires_at_ms in _decode(stored).items()
     ]
 
 
-def _decode(stored: StoredValue) -> OverByRequest:
-    """Return what a value says; one that nobody can read says nothing."""
+def _decode(stored: StoredValue) -> ExpiryByFingerprint:
+    """Return the decoded value; an invalid one is treated as empty."""
     try:
-        over_by_request = msgspec.json.decode(stored.value or b"{}", type=OverByRequest)
-        for name in over_by_request:
-            bytes.fromhex(name)
+        expiry_by_fingerprint = msgspec.json.decode(stored.value or b"{}", type=ExpiryByFingerprint)
+        for fingerprint_hex in expiry_by_fingerprint:
+            bytes.fromhex(fingerprint_hex)
     except (msgspec.DecodeError, ValueError):
         return {}
-    return over_by_request
+    return expiry_by_fingerprint
--- a/trackwheel/storage/models.py
+++ b/trackwheel/storage/models.py
@@ -1,4 +1,4 @@
-"""What the platform's services answer."""
+"""Interfaces and results of the platform's services."""
 
 from typing import NamedTuple, Protocol
 
@@ -9,43 +9,43 @@
 
 
 class StoredValue(NamedTuple):
-    """Hold a key's value and its revision; revision 0 means that there is no value."""
+    """The value of a key and its revision; revision 0 means that there is no value."""
 
     value: bytes
     revision: int
 
 
 class WriteResult(NamedTuple):
-    """Say whether a compare-and-swap took effect, and the key's revision after it."""
+    """Whether a compare-and-swap took effect, and the revision of the key after it."""
 
     written: bool
     revision: int
 
 
 class BoxList(msgspec.Struct):
-    """List the addresses of live and of leaving boxes; it lags."""
+    """Addresses of the live and the leaving boxes; may be out of date."""
 
     live: list[str]
     leaving: list[str]
 
 
 class KeyValueClient(Protocol):
-    """Call the platform's key-value service."""
+    """Interface of the key-value service."""
 
     async def get(self, key: str) -> Result[StoredValue, PlatformError]:
-        """Return a key's value."""
+        """Return the value of a key."""
 
     async def compare_and_swap(
         self, key: str, value: bytes, revision: int
     ) -> Result[WriteResult, PlatformError]:
-        """Write a value if the key has a revision; a failure may have taken effect."""
+        """Write a value if the key has the given revision; a failed call may have taken effect."""
 
     async def watch(self, key: str, after: int) -> Result[StoredValue, PlatformError]:
-        """Return a key's value when its revision is another one, or after some seconds."""
+        """Return the value of a key once its revision differs from `after`, or after a timeout."""
 
 
 class BoxListClient(Protocol):
-    """Read the platform's box list."""
+    """Interface of the box list."""
 
     async def read(self) -> Result[BoxList, PlatformError]:
-        """Return the list as it stands."""
+        """Return the current list."""
