--- a/trackwheel/peers/hub.py
+++ b/trackwheel/peers/hub.py
@@ -194,7 +194,7 @@
         if certificate_matches(identity, socket.transport.get_extra_info("peercert")):
             return identity
         LOG.warning(
-            f"Refused a peer that claims to be {identity.box_id!r}: its certificate does not match."
+            f"Refused a peer that claims to be {identity.box_id!r}: its certificate differs."
         )
         return None
 
