--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -610,7 +610,7 @@
         MEMBERSHIP,
         "the authority is replaced while the fleet runs, an old certificate is shown",
         TLS + "test_authority_is_replaced_without_a_restart",
-        Mutant("trackwheel/tls.py", "connection.context = self._latest", "pass"),
+        Mutant("trackwheel/tls.py", "connection.context = self._current", "pass"),
     ),
     Row(
         FLEET,
@@ -619,7 +619,7 @@
         TLS + "test_broken_certificate_leaves_the_old_one",
         Mutant(
             "trackwheel/tls.py",
-            "            except ERRORS as error:",
+            "            except LOAD_ERRORS as error:",
             "            except KeyError as error:",
         ),
     ),
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Boxes that were suspended: the clock counts that time, and every part goes by it."""
+"""Suspended machines: the clock includes that time, and all modules use this clock."""
 
 import asyncio
 import time
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def suspend(monkeypatch: pytest.MonkeyPatch) -> Suspend:
-    """Return what suspends the machine: afterwards only the clock that counts this has gone on."""
+    """Return a function that simulates a suspension: only CLOCK_BOOTTIME advances."""
     read = time.clock_gettime
 
     def clock_gettime(clock: int) -> float:
@@ -31,19 +31,19 @@
 
 
 def test_clock_counts_the_time_in_which_the_machine_was_suspended(suspend: Suspend) -> None:
-    before, stands_still = steady_now(), time.monotonic()
+    before, monotonic_before = steady_now(), time.monotonic()
     suspend()
     assert steady_now() - before >= SUSPENDED_S
-    assert time.monotonic() - stands_still < SUSPENDED_S
+    assert time.monotonic() - monotonic_before < SUSPENDED_S
 
 
-def test_no_part_goes_by_a_clock_that_stands_still() -> None:
+def test_no_module_uses_the_clock_that_stops_during_suspension() -> None:
     assert SOURCES
     assert not [path.name for path in SOURCES if "monotonic()" in path.read_text()]
 
 
 def test_timer_that_was_due_while_suspended_fires_soon_after(suspend: Suspend) -> None:
-    """The event loop's own timers wait as much longer as the machine was away."""
+    """The event loop's own timers are late by the duration of the suspension."""
 
     async def scenario() -> float:
         fired = asyncio.Event()
--- a/trackwheel/clock.py
+++ b/trackwheel/clock.py
@@ -1,16 +1,16 @@
-"""The steady clock by which every part decides."""
+"""Monotonic clock that includes the time in which the machine is suspended."""
 
 import time
 from typing import Final
 
 _CLOCK: Final = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Counts the time in which the machine was suspended too, where the system has such a clock."""
+"""CLOCK_BOOTTIME also advances while the machine is suspended; not every system has it."""
 
 
 def steady_now() -> float:
-    """Return seconds since some moment before the start; they never go back.
+    """Return seconds since an arbitrary moment before the start; the value never decreases.
 
-    `time.monotonic` stands still while a machine is suspended. A box that wakes would take what it
-    knew before for fresh, hand targets deadlines that are over, and not notice that it was away.
+    `time.monotonic` stops while the machine is suspended. With it, a resumed box would treat old
+    information as fresh, send expired deadlines to targets and not notice its absence.
     """
     return time.clock_gettime(_CLOCK)
--- a/trackwheel/errors.py
+++ b/trackwheel/errors.py
@@ -1,10 +1,10 @@
-"""The base of every error: what failed, at which step, at which peer, and the remedy."""
+"""Base of all errors: what failed, in which step, at which peer, and the remedy."""
 
 from typing import NamedTuple
 
 
 class Problem(NamedTuple):
-    """Describe one failure in the terms that a caller or operator can act on."""
+    """Description of a failure for callers and operators."""
 
     code: str
     step: str
@@ -13,13 +13,13 @@
     remedy: str = ""
 
     def sentence(self) -> str:
-        """Return the failure as one readable line."""
+        """Return the description as a single line."""
         remedy = f" Remedy: {self.remedy}" if self.remedy else ""
         return f"{self.code} at {self.step} ({self.peer}): {self.detail}.{remedy}"
 
 
 class TrackwheelError(Exception):
-    """Carry a `Problem` through code that raises."""
+    """Base class of exceptions that are described by a `Problem`."""
 
     def __init__(self, problem: Problem) -> None:
         super().__init__(problem.sentence())
@@ -27,4 +27,4 @@
 
 
 class CommandError(Exception):
-    """Say in one line why a command did not do what was asked."""
+    """A command failed; the message is a single line for the user."""
--- a/trackwheel/inbox.py
+++ b/trackwheel/inbox.py
@@ -1,4 +1,4 @@
-"""The inbox of a task: events from other tasks, taken several at a time."""
+"""Event queue of a task, filled by other tasks and read in batches."""
 
 import math
 from collections import deque
@@ -12,19 +12,19 @@
 
 
 class Inbox(Generic[T]):
-    """Hold events for the one task that owns the state they change."""
+    """Unbounded queue of events for the task that owns the state they change."""
 
     def __init__(self) -> None:
         self._events: deque[T] = deque()
-        self._filled = anyio.Event()
+        self._not_empty = anyio.Event()
 
     def put(self, event: T) -> None:
-        """Add an event; never blocks."""
+        """Add an event without blocking."""
         self._events.append(event)
-        self._filled.set()
+        self._not_empty.set()
 
     async def take(self, wake_at: float) -> list[T]:
-        """Return all events that wait, or none when the time has come (monotonic seconds)."""
+        """Wait for events and return all of them, or none at `wake_at` (as of `steady_now`)."""
         if not self._events:
             await self._wait(wake_at)
         events = list(self._events)
@@ -32,9 +32,9 @@
         return events
 
     async def _wait(self, wake_at: float) -> None:
-        self._filled = anyio.Event()
+        self._not_empty = anyio.Event()
         if math.isinf(wake_at):
-            await self._filled.wait()
+            await self._not_empty.wait()
             return
         with anyio.move_on_after(max(0.0, wake_at - steady_now())):
-            await self._filled.wait()
+            await self._not_empty.wait()
--- a/trackwheel/ini.py
+++ b/trackwheel/ini.py
@@ -1,4 +1,4 @@
-"""Checked reading of INI text: every key is known, every value has a unit, every error a remedy."""
+"""INI reader with validation: rejects unknown keys, requires units and reports all errors."""
 
 import configparser
 import re
@@ -12,7 +12,7 @@
 
 
 class IniError(NamedTuple):
-    """Name one mistake in an INI file: where it is and how to mend it."""
+    """An error in an INI file, with its location and how to fix it."""
 
     file: str
     section: str
@@ -21,13 +21,13 @@
     remedy: str
 
     def sentence(self) -> str:
-        """Return the mistake as one line."""
+        """Return the error as a single line."""
         place = f"[{self.section}]" + (f" {self.key}" if self.key else "")
         return f"{self.file}: {place if self.section else 'file'}: {self.detail}. {self.remedy}."
 
 
 class InvalidIniError(Exception):
-    """Carry every mistake found in one file."""
+    """Raised with all errors found in a file."""
 
     def __init__(self, errors: Iterable[IniError]) -> None:
         self.errors = tuple(errors)
@@ -35,7 +35,7 @@
 
 
 def parse_duration(text: str) -> float:
-    """Return seconds from text such as `70ms`, `2s` or `5m`; raise ValueError without a unit."""
+    """Parse a duration such as `70ms`, `2s` or `5m` and return seconds; the unit is required."""
     match = _DURATION.match(text.strip())
     if match is None:
         raise ValueError("a duration needs a number and one of the units ms, s, m, h, d")
@@ -43,7 +43,7 @@
 
 
 def parse_positive(text: str) -> float:
-    """Return a number above zero."""
+    """Parse a finite number above zero."""
     value = float(text)
     if not 0 < value < float("inf"):
         raise ValueError("the number must be above zero")
@@ -51,7 +51,7 @@
 
 
 def parse_count(text: str) -> int:
-    """Return a whole number of at least one."""
+    """Parse an integer of at least 1."""
     value = int(text)
     if value < 1:
         raise ValueError("the number must be at least 1")
@@ -59,7 +59,7 @@
 
 
 def parse_fraction(text: str) -> float:
-    """Return a number from 0 to 1."""
+    """Parse a number from 0 to 1."""
     value = float(text)
     if not 0 <= value <= 1:
         raise ValueError("the number must lie between 0 and 1")
@@ -67,12 +67,12 @@
 
 
 def parse_words(text: str) -> tuple[str, ...]:
-    """Return the comma-separated words of a value."""
+    """Split a comma-separated value into its non-empty words."""
     return tuple(word.strip() for word in text.split(",") if word.strip())
 
 
 class IniReader:
-    """Read one INI text and collect every mistake instead of stopping at the first."""
+    """Read an INI text and collect all errors instead of stopping at the first."""
 
     def __init__(self, file: str, text: str) -> None:
         self.file = file
@@ -91,17 +91,17 @@
         return self._parser.sections()
 
     def keys(self, section: str) -> list[str]:
-        """Return the keys of one section and count them as known."""
+        """Return the keys of a section and mark them as known."""
         keys = list(self._parser[section])
         self._used.update((section, key) for key in keys)
         return keys
 
     def raw(self, section: str, key: str) -> str:
-        """Return the text of one key that is known to be there."""
+        """Return the unparsed value of an existing key."""
         return self._parser[section][key]
 
     def fail(self, section: str, key: str, detail: str, remedy: str) -> None:
-        """Note one mistake."""
+        """Add an error."""
         self.errors.append(IniError(self.file, section, key, detail, remedy))
 
     def get(
@@ -112,7 +112,10 @@
         default: T | None = None,
         remedy: str = "",
     ) -> T:
-        """Return a parsed value; a missing or wrong one is noted and reads as the default."""
+        """Return a parsed value, or add an error and return the default if it is invalid.
+
+        A missing key is an error if there is no default.
+        """
         self._used.add((section, key))
         text = self._parser.get(section, key, fallback=None)
         if text is None:
@@ -126,13 +129,13 @@
             return default  # type: ignore[return-value]
 
     def check_unknown(self) -> None:
-        """Note every key that nothing has asked for."""
+        """Add an error for each key that has not been read."""
         for section in self._parser.sections():
             for key in self._parser[section]:
                 if (section, key) not in self._used:
-                    self.fail(section, key, "the key is unknown", "Remove it or mend its name")
+                    self.fail(section, key, "the key is unknown", "Remove it or correct its name")
 
     def finish(self) -> None:
-        """Raise when any mistake was noted."""
+        """Raise `InvalidIniError` if there are any errors."""
         if self.errors:
             raise InvalidIniError(self.errors)
--- a/trackwheel/tls.py
+++ b/trackwheel/tls.py
@@ -1,4 +1,4 @@
-"""TLS between boxes, and towards callers and operators; certificates change without a restart."""
+"""TLS between boxes and for callers and operators; certificates are reloaded without a restart."""
 
 import ssl
 from collections.abc import Callable
@@ -12,42 +12,42 @@
 
 LOG = Log("box")
 
-ERRORS: Final = (OSError, ValueError)
-"""What reading a missing, broken or mismatched certificate raises; `ssl.SSLError` is an OSError."""
+LOAD_ERRORS: Final = (OSError, ValueError)
+"""Raised for missing, invalid or mismatched certificates; `ssl.SSLError` is an OSError."""
 
 
 class ServerContext:
-    """Hold a context that is bound to a socket and hands each handshake to the latest one.
+    """SSL context for a listening socket that switches each handshake to the latest context.
 
-    So certificates, and the authorities that are trusted, are replaced as wholes: an authority
-    that was taken out of the file is trusted no longer.
+    A reload thus replaces the certificate and all trusted authorities: an authority removed from
+    the file is no longer trusted.
     """
 
     def __init__(self, build: Callable[[], ssl.SSLContext]) -> None:
         self._build = build
-        self.bound = self._built()
-        self._latest = self.bound
-        self.bound.sni_callback = self._hand_over
+        self.listening_context = self._build_context()
+        self._current = self.listening_context
+        self.listening_context.sni_callback = self._switch_context
 
     def reload(self) -> None:
-        """Read the files anew; raise one of `ERRORS` and keep what there was."""
-        self._latest = self._built()
+        """Reload the files; if that raises one of `LOAD_ERRORS`, the previous context is kept."""
+        self._current = self._build_context()
 
-    def _built(self) -> ssl.SSLContext:
+    def _build_context(self) -> ssl.SSLContext:
         context = self._build()
-        # A resumed session would skip the look at the peer's certificate.
+        # A resumed session would skip verification of the peer's certificate.
         context.num_tickets = 0
         return context
 
-    def _hand_over(
+    def _switch_context(
         self, connection: ssl.SSLSocket | ssl.SSLObject, name: str | None, context: ssl.SSLContext
     ) -> None:
-        if self._latest is not self.bound:
-            connection.context = self._latest
+        if self._current is not self.listening_context:
+            connection.context = self._current
 
 
 class TlsContexts:
-    """Hold the contexts for links between boxes; both sides show a certificate of the fleet."""
+    """SSL contexts for links between boxes; both ends present a certificate of the fleet."""
 
     def __init__(self, settings: TlsSettings | None) -> None:
         self._settings = settings
@@ -59,11 +59,11 @@
 
     @property
     def server(self) -> ssl.SSLContext | None:
-        """Return the context for the socket that takes links, None without TLS."""
-        return self._server.bound if self._server is not None else None
+        """Return the context for the socket that accepts links, None without TLS."""
+        return self._server.listening_context if self._server is not None else None
 
     def reload(self) -> None:
-        """Read the files anew; raise one of `ERRORS` and keep what there was."""
+        """Reload the files; if that raises one of `LOAD_ERRORS`, the previous context is kept."""
         if self._settings is None or self._server is None:
             return
         client = _load(self._settings, ssl.PROTOCOL_TLS_CLIENT)
@@ -73,7 +73,7 @@
 
 def _load(settings: TlsSettings, protocol: int) -> ssl.SSLContext:
     context = ssl.SSLContext(protocol)
-    # Boxes are known by the names in their certificates, not by those of their addresses.
+    # Boxes are identified by the common name in their certificates, not by host name.
     context.check_hostname = False
     context.minimum_version = ssl.TLSVersion.TLSv1_3
     context.load_verify_locations(cafile=str(settings.authority))
@@ -83,7 +83,7 @@
 
 
 class HttpsConfig(Config):
-    """Serve one address with TLS if its settings say so, and read certificates anew on demand."""
+    """Hypercorn configuration for one address, with reloadable TLS if configured."""
 
     def __init__(self, settings: HttpTlsSettings | None) -> None:
         super().__init__()
@@ -97,25 +97,25 @@
             self.verify_mode = ssl.CERT_REQUIRED
 
     def create_ssl_context(self) -> ssl.SSLContext | None:
-        """Return the context that hypercorn serves with."""
+        """Return the SSL context for hypercorn, None without TLS."""
         if not self.ssl_enabled:
             return None
         self._server = ServerContext(self._build)
-        return self._server.bound
+        return self._server.listening_context
 
     def _build(self) -> ssl.SSLContext:
         context = super().create_ssl_context()
-        assert context is not None, "there is a certificate"
+        assert context is not None, "no certificate is configured"
         return context
 
     def reload(self) -> None:
-        """Read the files anew; raise one of `ERRORS` and keep what there was."""
+        """Reload the files; if that raises one of `LOAD_ERRORS`, the previous context is kept."""
         if self._server is not None:
             self._server.reload()
 
 
 class Certificates:
-    """Hold everything of one box that reads certificates."""
+    """The TLS contexts and configurations of one box."""
 
     def __init__(self, settings: Settings) -> None:
         self.peers = TlsContexts(settings.tls)
@@ -123,16 +123,16 @@
         self.operators = HttpsConfig(settings.operators_tls)
 
     def reload(self) -> None:
-        """Read all certificates anew; what cannot be read stays as it was and is logged."""
+        """Reload all certificates; log those that cannot be read and keep the previous ones."""
         steps: tuple[tuple[str, Callable[[], None]], ...] = (
             ("peers", self.peers.reload),
             ("callers", self.callers.reload),
             ("operators", self.operators.reload),
         )
-        for part, reload in steps:
+        for user, reload in steps:
             try:
                 reload()
-            except ERRORS as error:
-                LOG.error(f"The certificates for {part} cannot be read; the old ones stay. {error}")
+            except LOAD_ERRORS as error:
+                LOG.error(f"The certificates for {user} cannot be read; the old ones stay. {error}")
                 continue
-            LOG.info(f"The certificates for {part} were read anew.")
+            LOG.info(f"The certificates for {user} were reloaded.")
--- a/trackwheel/units.py
+++ b/trackwheel/units.py
@@ -1,6 +1,6 @@
-"""Units in which figures travel."""
+"""Factors for converting units."""
 
 from typing import Final
 
 MILLISECONDS: Final = 1000.0
-"""Milliseconds in a second."""
+"""Milliseconds per second."""
