--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -603,14 +603,14 @@
         MEMBERSHIP,
         "a box with a sound certificate calls itself another one",
         TLS + "test_box_may_not_call_itself_another",
-        Mutant("trackwheel/peers/certified.py", "identity.box_id not in names", "False"),
+        Mutant("trackwheel/peers/certificate.py", "identity.box_id not in names", "False"),
     ),
     Row(
         FLEET,
         MEMBERSHIP,
         "the authority is replaced while the fleet runs, an old certificate is shown",
         TLS + "test_authority_is_replaced_without_a_restart",
-        Mutant("trackwheel/tls.py", "connection.context = self._latest", "pass"),
+        Mutant("trackwheel/tls.py", "connection.context = self._current", "pass"),
     ),
     Row(
         FLEET,
@@ -619,7 +619,7 @@
         TLS + "test_broken_certificate_leaves_the_old_one",
         Mutant(
             "trackwheel/tls.py",
-            "            except ERRORS as error:",
+            "            except LOAD_ERRORS as error:",
             "            except KeyError as error:",
         ),
     ),
@@ -725,8 +725,8 @@
         HTTP_TARGET + "test_answers",
         Mutant(
             "trackwheel/http1/client.py",
-            "foreign = self._check(answer)",
-            'foreign = ""',
+            "mismatch = self._check(answer)",
+            'mismatch = ""',
         ),
     ),
     Row(
@@ -736,8 +736,8 @@
         HTTP_TARGET + "test_late_surplus_answer_is_not_taken_for_the_next_one",
         Mutant(
             "trackwheel/http1/client.py",
-            "foreign = self._check(answer)",
-            'foreign = ""',
+            "mismatch = self._check(answer)",
+            'mismatch = ""',
         ),
     ),
     Row(
@@ -1012,8 +1012,8 @@
         "tests/platform/test_store.py::test_silent_connection_is_met_only_once",
         Mutant(
             "trackwheel/http1/call.py",
-            "        async with asyncio.timeout(timeout_s):\n            return await ended\n",
-            "        return await ended\n",
+            "        async with asyncio.timeout(timeout_s):\n            return await result\n",
+            "        return await result\n",
         ),
     ),
     Row(
@@ -1023,7 +1023,7 @@
         "tests/peers/test_hub.py::test_link_that_is_not_acknowledged_breaks",
         Mutant(
             "trackwheel/peers/hub.py",
-            "        watch_for_silence(socket.transport, LINK_UNACKNOWLEDGED_MS)\n",
+            "        set_tcp_options(socket.transport, LINK_USER_TIMEOUT_MS)\n",
             "",
         ),
     ),
@@ -1031,10 +1031,10 @@
         PLATFORM,
         MEMBERSHIP,
         "connections to a target go silent for good",
-        "tests/http1/test_client.py::test_idle_connections_go_with_one_that_went_silent",
+        "tests/http1/test_client.py::test_idle_connections_are_closed_after_a_timeout",
         Mutant(
             "trackwheel/http1/pool.py",
-            "            elif connection.silent:\n                self._drop_idle()\n",
+            "            elif connection.timed_out:\n                self._close_idle()\n",
             "",
         ),
     ),
@@ -1119,7 +1119,11 @@
         GONE,
         "a client leaves, through real processes",
         ENTRY + "test_client_that_leaves_cancels_the_work",
-        Mutant("trackwheel/http1/server.py", "            current.gone()", "            pass"),
+        Mutant(
+            "trackwheel/http1/server.py",
+            "            current.notify_disconnect()",
+            "            pass",
+        ),
     ),
     Row(
         PLATFORM,
@@ -1204,8 +1208,7 @@
         PLATFORM,
         EVACUATION,
         "requests wait for a connection to a target that is barred meanwhile",
-        "tests/http1/test_pool.py::"
-        "test_nothing_that_waits_is_sent_to_a_target_that_gets_no_new_work",
+        "tests/http1/test_pool.py::" "test_refusing_waiting_exchanges_sends_none_of_them",
         Mutant(
             "trackwheel/http1/pool.py",
             "        while self._waiting:\n            job =",
@@ -1527,9 +1530,12 @@
         PLATFORM,
         OWN,
         "a surplus answer comes late, while the same request is at the target again",
-        "tests/http1/test_client.py::"
-        "test_request_that_comes_again_is_not_answered_by_what_was_left_of_it",
-        Mutant("trackwheel/http1/pool.py", "job.request_id not in connection.carried", "True"),
+        "tests/http1/test_client.py::" "test_late_answer_to_an_earlier_attempt_is_ignored",
+        Mutant(
+            "trackwheel/http1/pool.py",
+            "job.request_id not in connection.recent_request_ids",
+            "True",
+        ),
     ),
     Row(
         PLATFORM,
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -165,7 +165,7 @@
 
         single = Single(plan, self._selector, self._budget)
         run = SingleRun(caller, single, self._transport, done)
-        exchange.on_gone = lambda: self._client_left(caller, route.name, run)
+        exchange.on_disconnect = lambda: self._client_left(caller, route.name, run)
         run.start()
 
     def _serve_after_trial(
@@ -188,7 +188,7 @@
 
         single = Single(self._plan_single(caller, route, True), self._selector, self._budget)
         run = SingleRun(caller, single, self._transport, done)
-        exchange.on_gone = lambda: self._client_left(caller, route.name, run)
+        exchange.on_disconnect = lambda: self._client_left(caller, route.name, run)
         run.start()
 
     def _serve_query(
@@ -212,7 +212,7 @@
 
         task = GatherTask(caller, gather)
         run = GatherRun(task, self._transport, self._groups, done)
-        exchange.on_gone = lambda: self._client_left(caller, route.name, run)
+        exchange.on_disconnect = lambda: self._client_left(caller, route.name, run)
         run.start()
 
     def _client_left(self, caller: CallerRequest, route: str, run: GatherRun | SingleRun) -> None:
@@ -303,7 +303,7 @@
 def _answer_at(caller: CallerRequest, route: Route) -> float:
     """Return the last moment to answer within the target latency (monotonic seconds)."""
     margin_s = RESPONSE_MARGIN_S
-    if caller.http.opening:
+    if caller.http.first_on_connection:
         margin_s += NEW_CONNECTION_MARGIN_S
     return caller.http.arrived + route.aim_s - margin_s
 
--- a/trackwheel/relay/startup_queue.py
+++ b/trackwheel/relay/startup_queue.py
@@ -33,7 +33,7 @@
         if len(self._waiting_by_exchange) >= STARTUP_MAX_WAITING:
             self._refuse(request, exchange)
             return
-        exchange.on_gone = partial(self._client_left, exchange)
+        exchange.on_disconnect = partial(self._client_left, exchange)
         timer = asyncio.get_running_loop().call_later(STARTUP_WAIT_S, self._time_out, exchange)
         self._waiting_by_exchange[exchange] = _Waiting(request, timer)
 
