--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -744,7 +744,7 @@
         PLATFORM,
         COVERAGE,
         "a shard without an answer, through real processes",
-        ENTRY + "test_silent_shard_is_named_as_missing_at_the_aim",
+        ENTRY + "test_slow_shard_is_reported_missing_at_the_target_latency",
     ),
     Row(
         PLATFORM,
@@ -761,7 +761,7 @@
         PLATFORM,
         COVERAGE,
         "a peer is frozen, through real processes",
-        ENTRY + "test_frozen_peer_is_gone_around",
+        ENTRY + "test_query_survives_a_frozen_peer",
     ),
     Row(
         PLATFORM,
@@ -778,7 +778,7 @@
         PLATFORM,
         AT_MOST_ONCE,
         "a target resets the connection, through real processes",
-        ENTRY + "test_request_that_may_run_once_runs_once",
+        ENTRY + "test_unsafe_request_is_not_retried_after_a_reset",
     ),
     Row(
         PLATFORM,
@@ -1051,7 +1051,7 @@
         PLATFORM,
         STOP,
         "a hang-up or a second signal comes after a planned stop began",
-        ENTRY + "test_planned_stop_finishes_what_is_under_way",
+        ENTRY + "test_planned_stop_finishes_requests_in_flight",
         Mutant(
             "trackwheel/entry/run.py",
             "            await _finish(box, clients)\n",
@@ -1074,7 +1074,7 @@
         PLATFORM,
         IN_FORCE,
         "a box restarts while the store is down",
-        ENTRY + "test_box_that_the_store_refuses_learns_from_peers",
+        ENTRY + "test_box_restarted_during_a_store_outage_learns_from_peers",
         Mutant(
             "trackwheel/directory/service.py",
             "if self.table is not None and ask.routes_version < self.version:",
@@ -1085,7 +1085,7 @@
         PLATFORM,
         IN_FORCE,
         "the store forgets its history between two changes",
-        ENTRY + "test_forgotten_history_loses_no_change",
+        ENTRY + "test_truncated_watch_history_loses_no_change",
     ),
     Row(
         PLATFORM,
@@ -1098,14 +1098,14 @@
         PLATFORM,
         STOP,
         "requests under way and on a kept connection at a planned stop",
-        ENTRY + "test_planned_stop_finishes_what_is_under_way",
+        ENTRY + "test_planned_stop_finishes_requests_in_flight",
         Mutant("trackwheel/entry/run.py", "while steady_now() < end:", "while False:"),
     ),
     Row(
         PLATFORM,
         GONE,
         "a client leaves, through real processes",
-        ENTRY + "test_client_that_leaves_cancels_the_work",
+        ENTRY + "test_client_disconnect_cancels_the_request",
         Mutant("trackwheel/http1/server.py", "            current.gone()", "            pass"),
     ),
     Row(
@@ -1136,7 +1136,7 @@
         PLATFORM,
         IN_HOMES,
         "through real processes, a home without targets too",
-        ENTRY + "test_homes_are_kept_to_at_every_box",
+        ENTRY + "test_allowed_regions_are_respected_at_every_box",
         Mutant(
             "trackwheel/platform/decode.py",
             "homes=frozenset(route.allowed_regions or ())",
@@ -1180,7 +1180,7 @@
         PLATFORM,
         EVACUATION,
         "through real processes, taken back",
-        ENTRY + "test_evacuated_domain_gets_nothing_until_that_is_taken_back",
+        ENTRY + "test_evacuated_domain_gets_nothing_until_the_evacuation_ends",
         Mutant(
             "trackwheel/directory/targets.py",
             "entry.leaving or entry.failure_domain in evacuated",
@@ -1315,14 +1315,14 @@
         PLATFORM,
         HELD,
         "a query, a look-up, one that may run only once, sent again at each box",
-        CRASHING + "test_request_under_which_three_targets_ended_goes_to_no_more",
+        CRASHING + "test_request_that_crashed_three_targets_is_refused",
         Mutant("trackwheel/relay/service.py", "if waits_s <= 0.0:", "if True:"),
     ),
     Row(
         PLATFORM,
         HELD,
         "one query over all shards: how many targets it ends",
-        CRASHING + "test_query_that_ends_targets_leaves_each_shard_one",
+        CRASHING + "test_crashing_query_spares_the_second_replica_of_each_shard",
         Mutant(
             "trackwheel/relay/gather.py",
             "return self._closings.any and not len(self.parts)",
@@ -1333,7 +1333,7 @@
         PLATFORM,
         HELD,
         "one box or all boxes are lost",
-        CRASHING + "test_boxes_that_start_know_what_is_held",
+        CRASHING + "test_restarted_boxes_know_held_requests",
         Mutant(
             "trackwheel/quarantine/service.py",
             "self._suspects.take_held(RequestsHeld(rows), steady_now())",
@@ -1344,7 +1344,7 @@
         PLATFORM,
         HELD,
         "a box starts while the store is down",
-        CRASHING + "test_box_that_starts_while_the_store_is_down_is_told_by_its_peers",
+        CRASHING + "test_box_restarted_during_a_store_outage_learns_held_requests_from_peers",
         Mutant(
             "trackwheel/quarantine/service.py",
             "self._tell_all(self._suspects.held_requests(now))",
@@ -1355,13 +1355,13 @@
         PLATFORM,
         HELD,
         "two such requests at the same targets",
-        CRASHING + "test_two_requests_at_the_same_targets_are_both_found",
+        CRASHING + "test_two_crashing_requests_at_the_same_targets_are_both_held",
     ),
     Row(
         PLATFORM,
         HELD,
         "four others at every target that ended are served once targets are back",
-        CRASHING + "test_bystanders_are_served_once_targets_are_back",
+        CRASHING + "test_bystanders_are_served_once_targets_have_restarted",
         Mutant(
             "trackwheel/quarantine/suspects.py",
             "if len(tied) == 1 or self._is_on_trial(one, now)",
@@ -1412,7 +1412,7 @@
         LOAD,
         HELD,
         "queries and requests that may run only once, at boxes of the product's own path",
-        "tests/whole/test_crashing_query.py::test_what_three_targets_ended_under_goes_to_no_more",
+        "tests/whole/test_crashing_query.py::test_request_that_crashed_three_targets_is_refused",
         Mutant("trackwheel/dispatch/guard.py", "case TargetClosedError():", "case MemoryError():"),
     ),
     Row(
--- a/tests/whole/test_crashing_request.py
+++ b/tests/whole/test_crashing_request.py
@@ -1,14 +1,13 @@
-"""A request that ends each target which runs it, at boxes as separate processes.
-
-What was seen: three times all targets of one service ended within 150 ms, with no order of the
-operator; sweeps over its shards went unanswered for four to ten seconds, and 120 and 133 targets
-had ended when the broken rule was noticed. How it came about: one request, sent again by its
-client every few seconds, at any box, ended the target of each shard, then the second target of
-each shard by the boxes' own repeats, then whatever had started in the meantime. The cause: an end
-was booked to the target only. Nothing knew the request, since each attempt at it has another id;
-boxes, peers and clients tried it elsewhere, and allowances of repeats count it as a new request.
-What proved that: the same content in every connection that was closed, and none that was answered;
-and this test, which loses every target it has where requests are not remembered.
+"""A request that crashes every target which runs it, at boxes as separate processes.
+
+A client sent one such request again every few seconds, to any box. Three times all targets of a
+service ended within 150 ms, with no operator action; sweeps over its shards went unanswered for
+four to ten seconds, and 120 and 133 targets had ended by the time the broken rule was noticed. The
+request ended the target of each shard, then the second ones through retries by the boxes, then
+every target started meanwhile. A crash was attributed to its target only: each attempt has another
+id, and retry budgets count it as a new request, so nothing recognised the request. The content was
+the same in every connection that closed and in none that was answered. Without the quarantine these
+tests lose all targets.
 """
 
 import signal
@@ -22,18 +21,18 @@
 
 from standins.entry_fleet import EntryFleet, EntryPlace
 from standins.fleet import wait_until
-from tests.whole.test_entry import SHARDS, check_whole, running
+from tests.whole.test_entry import SHARDS, check_answer_against_targets, run_fleet
 
-CRASHES_BEFORE = 3
-"""So many ends of targets nobody can prevent: before them the request is like any other."""
-KNOWN_AFTER_S = 1.5
-"""After so long every box knows the request; the platform's rule leaves four seconds."""
-REPEATS_AFTER = 3
-"""So many runs more the platform's rule bears."""
+UNAVOIDABLE_CRASHES = 3
+"""Crashes that cannot be prevented: until then the request looks like any other."""
+PROPAGATION_S = 1.5
+"""Time in which every box learns of the request; the platform's rule allows four seconds."""
+MAX_RUNS_WHEN_HELD = 3
+"""Further runs that the platform's rule tolerates."""
 
 
 class Case(NamedTuple):
-    """A request that ends targets: its path, and whether it may run only once."""
+    """A request that crashes targets: its path, and whether it may run only once."""
 
     path: str
     once: bool = False
@@ -48,135 +47,135 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[EntryFleet]:
-    """Run a fleet whose targets end under any request that says so in its path."""
-    with running(tmp_path) as fleet:
+    """Run a fleet whose targets crash on any request with "crash" in its path."""
+    with run_fleet(tmp_path) as fleet:
         for target in fleet.target_by_instance.values():
             target.ends_under = "crash"
         yield fleet
 
 
-def ask(fleet: EntryFleet, place: EntryPlace, case: Case) -> int:
-    """Send the request; return the status of its answer."""
+def send_request(fleet: EntryFleet, box: EntryPlace, case: Case) -> int:
+    """Send the request and return the status code."""
     options: dict[str, Any] = {"content": b"promise"} if case.once else {}
-    return fleet.ask(place, case.path, **options).status_code
+    return fleet.ask(box, case.path, **options).status_code
 
 
-def runs(fleet: EntryFleet) -> int:
-    """Return how many requests have reached targets to be run, earlier lives included."""
+def count_runs(fleet: EntryFleet) -> int:
+    """Count the requests that reached targets, including those before a target was replaced."""
     return sum(len(target.runs) for target in fleet.target_by_instance.values())
 
 
-def let_it_end_three(fleet: EntryFleet, case: Case) -> None:
-    """Send the request at one box after the other until three targets have ended under it."""
-    for place in [*fleet.boxes, *fleet.boxes]:
-        if runs(fleet) >= CRASHES_BEFORE:
+def crash_three_targets(fleet: EntryFleet, case: Case) -> None:
+    """Send the request to one box after the other until it has crashed three targets."""
+    for box in [*fleet.boxes, *fleet.boxes]:
+        if count_runs(fleet) >= UNAVOIDABLE_CRASHES:
             break
-        ask(fleet, place, case)
+        send_request(fleet, box, case)
         fleet.replace_ended()
         time.sleep(0.2)
-    assert runs(fleet) >= CRASHES_BEFORE
+    assert count_runs(fleet) >= UNAVOIDABLE_CRASHES
 
 
 @pytest.mark.parametrize("case", CASES.values(), ids=CASES.keys())
-def test_request_under_which_three_targets_ended_goes_to_no_more(
-    fleet: EntryFleet, case: Case
-) -> None:
-    let_it_end_three(fleet, case)
-    time.sleep(KNOWN_AFTER_S)
+def test_request_that_crashed_three_targets_is_refused(fleet: EntryFleet, case: Case) -> None:
+    crash_three_targets(fleet, case)
+    time.sleep(PROPAGATION_S)
     fleet.replace_ended()
-    before = runs(fleet)
+    runs_before = count_runs(fleet)
     statuses = []
-    for place in [*fleet.boxes, *fleet.boxes]:
-        statuses.append(ask(fleet, place, case))
+    for box in [*fleet.boxes, *fleet.boxes]:
+        statuses.append(send_request(fleet, box, case))
         fleet.replace_ended()
-    assert runs(fleet) - before <= REPEATS_AFTER
+    assert count_runs(fleet) - runs_before <= MAX_RUNS_WHEN_HELD
     assert statuses == [503] * len(statuses)
-    time.sleep(KNOWN_AFTER_S)
-    for place in fleet.boxes:
-        check_whole(fleet, fleet.ask(place, "/q/other"))
+    time.sleep(PROPAGATION_S)
+    for box in fleet.boxes:
+        check_answer_against_targets(fleet, fleet.ask(box, "/q/other"))
 
 
-def test_query_that_ends_targets_leaves_each_shard_one(fleet: EntryFleet) -> None:
-    """All shards are asked at once; what ended the first targets is not sent to the second ones."""
-    assert ask(fleet, fleet.boxes[0], CASES["query"]) != 200
-    ended = sum(target.ended for target in fleet.target_by_instance.values())
-    assert CRASHES_BEFORE <= ended <= len(SHARDS)
+def test_crashing_query_spares_the_second_replica_of_each_shard(fleet: EntryFleet) -> None:
+    """All shards are queried at once; replicas of crashed targets are not tried."""
+    assert send_request(fleet, fleet.boxes[0], CASES["query"]) != 200
+    crashed = sum(target.ended for target in fleet.target_by_instance.values())
+    assert UNAVOIDABLE_CRASHES <= crashed <= len(SHARDS)
 
 
-def hold_query(fleet: EntryFleet) -> None:
-    """Let a query end targets, wait until boxes and store know it, and give the targets back."""
-    let_it_end_three(fleet, CASES["query"])
-    wait_until(lambda: bool(fleet.keys("held/")), 5.0, "the word in the store")
+def quarantine_query(fleet: EntryFleet) -> None:
+    """Let a query crash targets, wait until boxes and store hold it, then replace the targets."""
+    crash_three_targets(fleet, CASES["query"])
+    wait_until(lambda: bool(fleet.keys("held/")), 5.0, "the entry in the store")
     fleet.replace_ended()
-    time.sleep(KNOWN_AFTER_S)
+    time.sleep(PROPAGATION_S)
 
 
-def start_again(fleet: EntryFleet, places: list[EntryPlace]) -> None:
-    for place in places:
-        fleet.signal(place, signal.SIGKILL)
-        fleet.wait_exit(place, 5.0)
-    for place in places:
-        fleet.start(place)
-    for place in places:
-        fleet.wait_ready(place)
-    time.sleep(KNOWN_AFTER_S)
+def restart_boxes(fleet: EntryFleet, boxes: list[EntryPlace]) -> None:
+    for box in boxes:
+        fleet.signal(box, signal.SIGKILL)
+        fleet.wait_exit(box, 5.0)
+    for box in boxes:
+        fleet.start(box)
+    for box in boxes:
+        fleet.wait_ready(box)
+    time.sleep(PROPAGATION_S)
 
 
-@pytest.mark.parametrize("lost", [1, 3], ids=["one-box", "all-boxes"])
-def test_boxes_that_start_know_what_is_held(fleet: EntryFleet, lost: int) -> None:
-    hold_query(fleet)
-    before = runs(fleet)
-    start_again(fleet, fleet.boxes[:lost])
-    assert [ask(fleet, place, CASES["query"]) for place in fleet.boxes] == [503] * 3
-    assert runs(fleet) == before
+@pytest.mark.parametrize("restarted", [1, 3], ids=["one-box", "all-boxes"])
+def test_restarted_boxes_know_held_requests(fleet: EntryFleet, restarted: int) -> None:
+    quarantine_query(fleet)
+    runs_before = count_runs(fleet)
+    restart_boxes(fleet, fleet.boxes[:restarted])
+    assert [send_request(fleet, box, CASES["query"]) for box in fleet.boxes] == [503] * 3
+    assert count_runs(fleet) == runs_before
 
 
-def test_box_that_starts_while_the_store_is_down_is_told_by_its_peers(fleet: EntryFleet) -> None:
-    hold_query(fleet)
-    before = runs(fleet)
+def test_box_restarted_during_a_store_outage_learns_held_requests_from_peers(
+    fleet: EntryFleet,
+) -> None:
+    quarantine_query(fleet)
+    runs_before = count_runs(fleet)
     fleet.store.down = True
-    start_again(fleet, fleet.boxes[1:2])
-    assert ask(fleet, fleet.boxes[1], CASES["query"]) == 503
-    assert runs(fleet) == before
+    restart_boxes(fleet, fleet.boxes[1:2])
+    assert send_request(fleet, fleet.boxes[1], CASES["query"]) == 503
+    assert count_runs(fleet) == runs_before
 
 
-def test_words_of_another_writer_hold_nothing(fleet: EntryFleet) -> None:
+def test_malformed_held_entries_hold_no_request(fleet: EntryFleet) -> None:
     fleet.put("held/not-hexadecimal", b"9")
     fleet.put("held/00", b"no number")
-    start_again(fleet, fleet.boxes)
-    for place in fleet.boxes:
-        check_whole(fleet, fleet.ask(place, "/q/other"))
+    restart_boxes(fleet, fleet.boxes)
+    for box in fleet.boxes:
+        check_answer_against_targets(fleet, fleet.ask(box, "/q/other"))
 
 
-def ask_together(fleet: EntryFleet, paths: list[str]) -> None:
-    """Send requests to one box at once, so that they are at the same targets."""
+def send_concurrently(fleet: EntryFleet, paths: list[str]) -> None:
+    """Send requests to one box at once, so that the same targets run them."""
     with ThreadPoolExecutor(len(paths)) as pool:
         list(pool.map(lambda path: fleet.ask(fleet.boxes[0], path), paths))
 
 
-def test_two_requests_at_the_same_targets_are_both_found(fleet: EntryFleet) -> None:
+def test_two_crashing_requests_at_the_same_targets_are_both_held(fleet: EntryFleet) -> None:
     paths = ["/q/crash-1", "/q/crash-2"]
-    ask_together(fleet, paths)
-    time.sleep(KNOWN_AFTER_S)
+    send_concurrently(fleet, paths)
+    time.sleep(PROPAGATION_S)
     fleet.replace_ended()
-    time.sleep(KNOWN_AFTER_S)
-    before = runs(fleet)
-    for place in [*fleet.boxes, *fleet.boxes]:
+    time.sleep(PROPAGATION_S)
+    runs_before = count_runs(fleet)
+    for box in [*fleet.boxes, *fleet.boxes]:
         for path in paths:
-            assert fleet.ask(place, path).status_code in (502, 503)
+            assert fleet.ask(box, path).status_code in (502, 503)
         fleet.replace_ended()
-    assert runs(fleet) - before <= REPEATS_AFTER
+    assert count_runs(fleet) - runs_before <= MAX_RUNS_WHEN_HELD
 
 
-def test_bystanders_are_served_once_targets_are_back(fleet: EntryFleet) -> None:
-    """They were at every target that ended, and nobody has answered them yet."""
+def test_bystanders_are_served_once_targets_have_restarted(fleet: EntryFleet) -> None:
+    """Bystanders were in flight at every crashed target and have never been answered before."""
     bystanders = [f"/q/other-{number}" for number in range(4)]
     for target in fleet.target_by_instance.values():
         target.delay_s = 0.2
-    ask_together(fleet, ["/q/crash", *bystanders])
-    time.sleep(KNOWN_AFTER_S)
+    send_concurrently(fleet, ["/q/crash", *bystanders])
+    time.sleep(PROPAGATION_S)
     fleet.replace_ended()
-    time.sleep(KNOWN_AFTER_S)
-    for place in fleet.boxes:
+    time.sleep(PROPAGATION_S)
+    for box in fleet.boxes:
         for path in bystanders:
-            check_whole(fleet, fleet.ask(place, path))
+            check_answer_against_targets(fleet, fleet.ask(box, path))
--- a/tests/whole/test_leaving_target.py
+++ b/tests/whole/test_leaving_target.py
@@ -13,7 +13,7 @@
 
 from standins.entry_fleet import EntryFleet
 from standins.fleet import wait_until
-from tests.whole.test_entry import running
+from tests.whole.test_entry import run_fleet
 
 DRAIN_S = 3.0
 """So long may a leaving target get work, by the boxes' settings."""
@@ -28,7 +28,7 @@
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[EntryFleet]:
     """Run three boxes, of which one reads the store for all, and many targets."""
-    with running(tmp_path, ["a", "a", "a"]) as fleet:
+    with run_fleet(tmp_path, ["a", "a", "a"]) as fleet:
         for name in OTHERS:
             fleet.add_entry(name, "other")
         time.sleep(1.0)
--- a/tests/whole/test_store_goes_back.py
+++ b/tests/whole/test_store_goes_back.py
@@ -13,7 +13,7 @@
 
 from standins.entry_fleet import EntryFleet
 from standins.fleet import wait_until
-from tests.whole.test_entry import LOOKUP, QUERY, running
+from tests.whole.test_entry import LOOKUP, QUERY, run_fleet
 
 KNOWN_AFTER_S = 1.5
 """After so long every box knows what was written, and that the store has come back."""
@@ -24,7 +24,7 @@
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[EntryFleet]:
     """Run a fleet with four targets of one service."""
-    with running(tmp_path) as fleet:
+    with run_fleet(tmp_path) as fleet:
         for name in ("lookup-third", "lookup-fourth"):
             fleet.add_target(name, "lookup", "a")
         time.sleep(1.0)
