--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several parts share."""
+"""Fixtures shared by several test packages."""
 
 import itertools
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
     groups: list[GroupShape] | None = None,
     name: str = "test",
 ) -> Path:
-    """Write an operators' file whose targets stand on free ports."""
+    """Write an operators' file whose targets listen on free ports."""
     count = sum(service.instances * service.targets_each for service in services)
     names = ", ".join(service.name for service in services)
     groups = groups or [GroupShape("clerks", "1", names), GroupShape("drivers", "3", names)]
@@ -29,9 +29,9 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SmallFleet]:
-    """Run three boxes and a service of six instances with two targets each, file in force."""
+    """Run three boxes, and a service of six instances with two targets each, its file in force."""
     path = write_file(tmp_path_factory.mktemp("files"), [ServiceShape("ledger", 6, 2)])
-    with SmallFleet(PLACES, [path]) as running:
-        report = running.apply(path)
+    with SmallFleet(PLACES, [path]) as started_fleet:
+        report = started_fleet.apply(path)
         assert report["outcome"] == "accepted", report
-        yield running
+        yield started_fleet
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -160,7 +160,7 @@
         TRUTH,
         COVERAGE,
         "a whole instance sheds",
-        TARGETS + "test_dead_instance_is_listed_as_lacking_or_given_up_at_once",
+        TARGETS + "test_query_with_a_shedding_instance_fails_at_once_with_its_reason",
     ),
     Row(
         TRUTH,
@@ -206,12 +206,17 @@
             "            if True:\n",
         ),
     ),
-    Row(TRUTH, OWN, "digest, length and end mark", WHOLE + "test_answer_carries_its_own_digest"),
+    Row(
+        TRUTH,
+        OWN,
+        "digest, length and end mark",
+        WHOLE + "test_answer_has_its_digest_length_and_end_mark",
+    ),
     Row(
         TRUTH,
         OWN,
         "no key, a wrong key, another group's service",
-        WHOLE + "test_refusals",
+        WHOLE + "test_invalid_requests_are_refused_with_their_error_code",
     ),
     Row(
         TRUTH,
@@ -228,13 +233,13 @@
         TRUTH,
         AT_MOST_ONCE,
         "600 requests while a box freezes, one dies, targets lose replies and shed",
-        BOXES + "test_once_while_boxes_freeze_die_and_targets_lose_replies",
+        BOXES + "test_requests_run_at_most_once_while_boxes_freeze_die_and_targets_lose_replies",
     ),
     Row(
         TRUTH,
         AT_MOST_ONCE,
         "a caller repeats at another box",
-        WHOLE + "test_request_runs_once_at_any_box",
+        WHOLE + "test_repeated_id_returns_the_first_answer_at_any_box",
         Mutant(
             "trackwheel/gateway/ledger.py",
             "        if record.outcome is not None:\n            return Decision(Verdict.FINAL",
@@ -421,13 +426,13 @@
         LOAD,
         STOP,
         "work of 300 ms in flight",
-        BOXES + "test_long_work_in_flight_outlives_a_planned_stop",
+        BOXES + "test_planned_stop_finishes_a_slow_query_in_flight",
     ),
     Row(
         LOAD,
         MEMBERSHIP,
         "reads while a box is killed, frozen, frozen and woken",
-        BOXES + "test_reads_ride_over_a_lost_box",
+        BOXES + "test_queries_survive_a_lost_box",
     ),
     Row(
         FILES,
@@ -489,32 +494,37 @@
         FILES,
         IN_FORCE,
         "the box that applies is killed at each step of a slow store",
-        STORE + "test_apply_killed_at_any_step_is_whole_or_nothing",
+        STORE + "test_apply_is_atomic_when_its_box_is_killed",
+    ),
+    Row(
+        FILES,
+        IN_FORCE,
+        "ten operators race at real boxes",
+        STORE + "test_ten_concurrent_applies_do_not_overwrite_each_other",
     ),
-    Row(FILES, IN_FORCE, "ten operators race at real boxes", STORE + "test_ten_racing_operators"),
     Row(
         FILES,
         IN_FORCE,
         "one, two and three lost replies",
-        STORE + "test_lost_replies_are_not_called_failed",
+        STORE + "test_lost_store_replies_do_not_fail_an_apply",
     ),
     Row(
         FILES,
         IN_FORCE,
         "an older store is restored",
-        STORE + "test_store_that_comes_back_older_is_brought_forward",
+        STORE + "test_store_restored_from_an_older_copy_is_updated",
     ),
     Row(
         FILES,
         IN_FORCE,
         "the store is down and all boxes but one are replaced",
-        STORE + "test_box_replaced_in_an_outage_takes_the_files_from_its_peers",
+        STORE + "test_box_restarted_during_a_store_outage_gets_the_files_from_its_peers",
     ),
     Row(
         FILES,
         IN_FORCE,
         "a box freezes, a file is applied, the box wakes",
-        STORE + "test_frozen_box_that_wakes_with_old_files_moves_forward",
+        STORE + "test_resumed_box_with_old_files_catches_up",
     ),
     Row(
         FILES,
@@ -589,20 +599,20 @@
         FLEET,
         MEMBERSHIP,
         "a lost box through real processes, killed and frozen",
-        BOXES + "test_lost_box_is_noticed_within_two_seconds",
+        BOXES + "test_lost_box_is_detected_within_two_seconds",
     ),
     Row(
         FLEET,
         MEMBERSHIP,
         "a stranger without a certificate",
-        STORE + "test_stranger_without_a_certificate_learns_nothing",
+        STORE + "test_peer_without_a_certificate_receives_no_message",
         Mutant("trackwheel/tls.py", "ssl.CERT_REQUIRED", "ssl.CERT_NONE"),
     ),
     Row(
         FLEET,
         MEMBERSHIP,
         "a box with a sound certificate calls itself another one",
-        TLS + "test_box_may_not_call_itself_another",
+        TLS + "test_peer_id_must_match_its_certificate",
         Mutant("trackwheel/peers/certified.py", "identity.box_id not in names", "False"),
     ),
     Row(
@@ -616,7 +626,7 @@
         FLEET,
         MEMBERSHIP,
         "a certificate cannot be read at a hang-up",
-        TLS + "test_broken_certificate_leaves_the_old_one",
+        TLS + "test_unreadable_certificate_keeps_the_old_one",
         Mutant(
             "trackwheel/tls.py",
             "            except ERRORS as error:",
@@ -627,7 +637,7 @@
         FLEET,
         MEMBERSHIP,
         "an operator without a certificate, or without TLS",
-        TLS + "test_operators_show_a_certificate",
+        TLS + "test_operators_need_a_certificate",
         Mutant("trackwheel/tls.py", "            self.verify_mode = ssl.CERT_REQUIRED\n", ""),
     ),
     Row(
@@ -1420,7 +1430,7 @@
         LEAVING,
         "targets leave while a box reads all of them page by page, at its peers",
         "tests/whole/test_leaving_target.py::"
-        "test_target_that_leaves_while_all_are_read_gets_nothing_after_its_time",
+        "test_target_that_leaves_during_a_full_read_gets_nothing_after_its_drain_time",
         Mutant("trackwheel/directory/targets.py", "if revision <= as_of}", "}"),
     ),
     Row(
@@ -1461,7 +1471,7 @@
         SET_BACK,
         "targets, evacuations, configurations and their changes, at boxes as processes",
         "tests/whole/test_store_goes_back.py::"
-        "test_what_was_known_holds_until_it_is_written_again_and_what_is_written_counts",
+        "test_lost_changes_hold_until_they_are_rewritten_and_new_writes_count",
         Mutant("trackwheel/directory/revisions.py", "(era << _ERA_SHIFT) | own", "own"),
     ),
     Row(
--- a/tests/whole/test_box_faults.py
+++ b/tests/whole/test_box_faults.py
@@ -1,4 +1,4 @@
-"""Boxes that are killed, frozen and stopped under load, and requests that run only once."""
+"""Boxes that are killed, frozen and stopped under load, and requests that must run only once."""
 
 import asyncio
 import signal
@@ -13,19 +13,19 @@
 from standins.file_maker import ServiceShape
 from standins.fleet import BoxPlace, SmallFleet, wait_until
 from tests.conftest import PLACES, write_file
-from tests.whole.test_target_faults import targets_of
+from tests.whole.test_target_faults import target_addresses
 
 SERVICE = "ledger"
-Disturb = Callable[[SmallFleet, BoxPlace], Coroutine[None, None, None]]
+Disturbance = Callable[[SmallFleet, BoxPlace], Coroutine[None, None, None]]
 
 
 @pytest.fixture
 def own_fleet(tmp_path: Path) -> Iterator[SmallFleet]:
-    """Run three boxes that a test may destroy."""
+    """Run three boxes for a single test, which may kill them."""
     path = write_file(tmp_path, [ServiceShape(SERVICE, 6, 2, deadline="400ms", wait="400ms")])
-    with SmallFleet(PLACES, [path]) as running:
-        assert running.apply(path)["outcome"] == "accepted"
-        yield running
+    with SmallFleet(PLACES, [path]) as started_fleet:
+        assert started_fleet.apply(path)["outcome"] == "accepted"
+        yield started_fleet
 
 
 async def kill(fleet: SmallFleet, box: BoxPlace) -> None:
@@ -36,31 +36,31 @@
     fleet.signal_box(box, signal.SIGSTOP)
 
 
-async def freeze_and_wake(fleet: SmallFleet, box: BoxPlace) -> None:
+async def freeze_and_resume(fleet: SmallFleet, box: BoxPlace) -> None:
     fleet.signal_box(box, signal.SIGSTOP)
     await asyncio.sleep(2.5)
     fleet.signal_box(box, signal.SIGCONT)
 
 
-def query_others_while(
-    fleet: SmallFleet, disturb: Disturb, rate: float = 60, seconds: float = 5.0
+def query_during_disturbance(
+    fleet: SmallFleet, disturb: Disturbance, rate: float = 60, seconds: float = 5.0
 ) -> tuple[Results, float]:
-    """Ask the first two boxes while the third is disturbed after a second."""
-    at: list[float] = []
+    """Query the first two boxes; disturb the third one after a second."""
+    disturbed_at: list[float] = []
 
     async def meanwhile(callers: Callers) -> None:
         await asyncio.sleep(1.0)
-        at.append(time.monotonic())
+        disturbed_at.append(time.monotonic())
         await disturb(fleet, fleet.boxes[2])
 
     addresses = [box.callers for box in fleet.boxes[:2]]
     results = run_queries(addresses, "clerks", SERVICE, rate, seconds, meanwhile)
-    return results, at[0]
+    return results, disturbed_at[0]
 
 
-@pytest.mark.parametrize("disturb", [kill, freeze, freeze_and_wake], ids=lambda d: d.__name__)
-def test_reads_ride_over_a_lost_box(own_fleet: SmallFleet, disturb: Disturb) -> None:
-    results, _ = query_others_while(own_fleet, disturb)
+@pytest.mark.parametrize("disturb", [kill, freeze, freeze_and_resume], ids=lambda d: d.__name__)
+def test_queries_survive_a_lost_box(own_fleet: SmallFleet, disturb: Disturbance) -> None:
+    results, _ = query_during_disturbance(own_fleet, disturb)
     assert results.broken == []
     assert results.cut_off == []
     assert results.answered >= 0.98 * 300, (results.answered, results.codes)
@@ -68,7 +68,9 @@
 
 
 @pytest.mark.parametrize("disturb", [kill, freeze], ids=lambda d: d.__name__)
-def test_lost_box_is_noticed_within_two_seconds(own_fleet: SmallFleet, disturb: Disturb) -> None:
+def test_lost_box_is_detected_within_two_seconds(
+    own_fleet: SmallFleet, disturb: Disturbance
+) -> None:
     asyncio.run(disturb(own_fleet, own_fleet.boxes[2]))
     started = time.monotonic()
     wait_until(lambda: own_fleet.members_seen(own_fleet.boxes[0]) == 2, 5.0, "noticing")
@@ -77,7 +79,7 @@
 
 
 def test_planned_stop_cuts_off_nothing(own_fleet: SmallFleet) -> None:
-    """The balancer learns of it a second late; nothing is cut off and nothing refused."""
+    """The load balancer learns of the stop a second late; nothing is cut off or refused."""
     leaving = own_fleet.boxes[2]
 
     async def stop(callers: Callers) -> None:
@@ -98,7 +100,7 @@
 
 
 def test_planned_stop_beside_paused_boxes_cuts_off_nothing(own_fleet: SmallFleet) -> None:
-    """A stopping box whose peers all paused found no owner for its work, and crashed."""
+    """A stopping box whose peers were all paused found no owner for its work and crashed."""
     leaving = own_fleet.boxes[2]
     staying = own_fleet.boxes[:2]
 
@@ -123,8 +125,8 @@
     assert own_fleet.process_by_name[leaving.box_id].wait(timeout=10) == 0
 
 
-def test_long_work_in_flight_outlives_a_planned_stop(own_fleet: SmallFleet) -> None:
-    for replicas in targets_of(own_fleet):
+def test_planned_stop_finishes_a_slow_query_in_flight(own_fleet: SmallFleet) -> None:
+    for replicas in target_addresses(own_fleet):
         for address in replicas:
             own_fleet.control(address, service_s=0.3)
     results = Results()
@@ -132,10 +134,10 @@
 
     async def main() -> None:
         callers = Callers([leaving.callers])
-        running = asyncio.ensure_future(callers.query("clerks", SERVICE, results))
+        pending_query = asyncio.ensure_future(callers.query("clerks", SERVICE, results))
         await asyncio.sleep(0.05)
         own_fleet.signal_box(leaving, signal.SIGTERM)
-        await running
+        await pending_query
         await callers.close()
 
     asyncio.run(main())
@@ -143,7 +145,7 @@
     assert results.answered == 1, results.codes
 
 
-def run_once(
+def send_once_requests(
     fleet: SmallFleet, count: int, rate: float, disturb: Callable[[Callers], Awaitable[None]]
 ) -> OnceReport:
     report = OnceReport()
@@ -155,14 +157,16 @@
         await callers.close()
 
     asyncio.run(main())
-    for replicas in targets_of(fleet):
+    for replicas in target_addresses(fleet):
         for address in replicas:
             report.count_runs(fleet.counts(address))
     return report
 
 
-def test_once_while_boxes_freeze_die_and_targets_lose_replies(own_fleet: SmallFleet) -> None:
-    targets = targets_of(own_fleet)
+def test_requests_run_at_most_once_while_boxes_freeze_die_and_targets_lose_replies(
+    own_fleet: SmallFleet,
+) -> None:
+    targets = target_addresses(own_fleet)
 
     async def disturb(callers: Callers) -> None:
         first, second, third = own_fleet.boxes
@@ -178,7 +182,7 @@
         await asyncio.sleep(0.5)
         own_fleet.start_box(third)
 
-    report = run_once(own_fleet, 600, 100, disturb)
+    report = send_once_requests(own_fleet, 600, 100, disturb)
     assert len(report.told_by_id) == 600
     assert report.twice() == []
     assert report.lies() == []
--- a/tests/whole/test_crashing_query.py
+++ b/tests/whole/test_crashing_query.py
@@ -10,7 +10,7 @@
 import pytest
 
 from standins.fleet import SmallFleet
-from tests.whole.test_target_faults import SERVICE, targets_of
+from tests.whole.test_target_faults import SERVICE, target_addresses
 
 SendToBox = Callable[[SmallFleet, int], int]
 """Send a request to a box, given by its number; return the status code."""
@@ -24,7 +24,7 @@
 @pytest.fixture
 def targets(fleet: SmallFleet) -> Iterator[list[str]]:
     """Provide the addresses of all targets, each of which crashes on the crashing body."""
-    addresses = [address for replicas in targets_of(fleet) for address in replicas]
+    addresses = [address for replicas in target_addresses(fleet) for address in replicas]
     for address in addresses:
         fleet.control(address, ends_under=CRASHING_BODY)
     yield addresses
--- a/tests/whole/test_path.py
+++ b/tests/whole/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes."""
+"""Requests of callers and operators through boxes and targets as separate processes."""
 
 import hashlib
 import socket
@@ -12,7 +12,7 @@
 KEY = demo_key("clerks")
 
 
-def test_query_is_answered_whole(fleet: SmallFleet) -> None:
+def test_query_answer_is_complete(fleet: SmallFleet) -> None:
     for box in fleet.boxes:
         response = fleet.query(box, KEY, "ledger")
         answer = response.json()
@@ -23,7 +23,7 @@
         assert len({item for shard in answer["items"] for item in shard["items"]}) == 18
 
 
-def test_answer_carries_its_own_digest(fleet: SmallFleet) -> None:
+def test_answer_has_its_digest_length_and_end_mark(fleet: SmallFleet) -> None:
     response = fleet.query(fleet.boxes[0], KEY, "ledger")
     digest = hashlib.sha256(response.content).hexdigest()
     assert response.headers["trackwheel-digest"] == f"sha256={digest}"
@@ -68,7 +68,7 @@
         ),
     ],
 )
-def test_refusals(
+def test_invalid_requests_are_refused_with_their_error_code(
     fleet: SmallFleet, key: str, path: str, body: dict[str, Any], status: int, code: str
 ) -> None:
     response = fleet.call(fleet.boxes[0], key, path, body)
@@ -78,7 +78,7 @@
     assert error["step"] and error["peer"] and error["remedy"]
 
 
-def test_broken_json_is_refused(fleet: SmallFleet) -> None:
+def test_malformed_json_is_refused(fleet: SmallFleet) -> None:
     url = f"http://{fleet.boxes[0].callers}/v1/query"
     headers = {"Authorization": f"Bearer {KEY}"}
     response = fleet.http.post(url, content=b"\xff{", headers=headers)
@@ -92,27 +92,29 @@
         pytest.param(b"X-Long: " + b"x" * 80_000 + b"\r\n\r\n", b"4", id="long-header"),
     ],
 )
-def test_sender_that_is_slow_or_too_long(fleet: SmallFleet, sent: bytes, status: bytes) -> None:
+def test_slow_body_or_long_header_does_not_disturb_others(
+    fleet: SmallFleet, sent: bytes, status: bytes
+) -> None:
     host, port = fleet.boxes[0].callers.split(":")
-    with socket.create_connection((host, int(port)), timeout=8) as raw:
+    with socket.create_connection((host, int(port)), timeout=8) as connection:
         key = f"Authorization: Bearer {KEY}\r\n".encode()
-        raw.sendall(b"POST /v1/query HTTP/1.1\r\nHost: x\r\n" + key + sent)
+        connection.sendall(b"POST /v1/query HTTP/1.1\r\nHost: x\r\n" + key + sent)
         try:
-            answer = raw.recv(200)
+            answer = connection.recv(200)
         except ConnectionError:
             answer = b""
     assert answer == b"" or answer.split(b" ")[1].startswith(status)
     assert fleet.query(fleet.boxes[0], KEY, "ledger").status_code == 200
 
 
-def test_request_runs_once_at_any_box(fleet: SmallFleet) -> None:
+def test_repeated_id_returns_the_first_answer_at_any_box(fleet: SmallFleet) -> None:
     ids = fleet.call(fleet.boxes[0], KEY, "/v1/ids", {"count": 3}).json()["ids"]
-    for place, request_id in enumerate(ids):
+    for index, request_id in enumerate(ids):
         body = {"service": "ledger", "key": "pallet-7", "body": "promise", "id": request_id}
-        first = fleet.call(fleet.boxes[place], KEY, "/v1/execute", body)
+        first = fleet.call(fleet.boxes[index], KEY, "/v1/execute", body)
         assert first.status_code == 200, first.text
         assert first.json()["outcome"] == "done"
-        repeated = fleet.call(fleet.boxes[(place + 1) % 3], KEY, "/v1/execute", body)
+        repeated = fleet.call(fleet.boxes[(index + 1) % 3], KEY, "/v1/execute", body)
         assert repeated.json()["repeated"] is True
         assert repeated.json()["answer"] == first.json()["answer"]
 
@@ -124,7 +126,7 @@
     assert response.json()["error"]["code"] == "id_invalid"
 
 
-def test_explain_shows_each_ask(fleet: SmallFleet) -> None:
+def test_explain_lists_the_steps_of_each_instance(fleet: SmallFleet) -> None:
     box = fleet.boxes[2]
     query_id = fleet.query(box, KEY, "ledger").headers["trackwheel-query-id"]
     report = fleet.http.get(f"http://{box.operators}/v1/explain/{query_id}").json()
--- a/tests/whole/test_store_goes_back.py
+++ b/tests/whole/test_store_goes_back.py
@@ -1,8 +1,7 @@
-"""A store that comes back from a copy some seconds old, with boxes as separate processes.
+"""A store restored from a copy some seconds old, with boxes as separate processes.
 
-What was written since is gone, and revisions are given out again. Until the operator and the
-targets have written again, boxes keep to what they know; what is written then counts, whatever its
-revision.
+Later writes are lost and their revisions are assigned again. Boxes keep what they know until the
+operator and the targets have written again; new writes then count, whatever their revision.
 """
 
 import time
@@ -15,10 +14,10 @@
 from standins.fleet import wait_until
 from tests.whole.test_entry import LOOKUP, QUERY, run_fleet
 
-KNOWN_AFTER_S = 1.5
-"""After so long every box knows what was written, and that the store has come back."""
-REQUESTS = 8
-NEW = {**LOOKUP, "name": "n", "path_prefix": "/new/"}
+PROPAGATION_S = 1.5
+"""Time in which every box learns of a write, and of the restored store."""
+REQUESTS_PER_BOX = 8
+NEW_ROUTE = {**LOOKUP, "name": "n", "path_prefix": "/new/"}
 
 
 @pytest.fixture
@@ -31,44 +30,44 @@
         yield fleet
 
 
-def asked(fleet: EntryFleet) -> set[str]:
-    """Send requests at every box; return which targets have run any."""
+def find_targets_used(fleet: EntryFleet) -> set[str]:
+    """Send requests to every box and return the instances that ran any."""
     for target in fleet.target_by_instance.values():
         target.runs.clear()
-    for place in fleet.boxes:
-        for number in range(REQUESTS):
+    for box in fleet.boxes:
+        for number in range(REQUESTS_PER_BOX):
             path = "/new/x" if number % 2 else "/l/x"
-            assert fleet.ask(place, path).status_code == 200
+            assert fleet.ask(box, path).status_code == 200
     return {name for name, target in fleet.target_by_instance.items() if target.runs}
 
 
-def test_what_was_known_holds_until_it_is_written_again_and_what_is_written_counts(
+def test_lost_changes_hold_until_they_are_rewritten_and_new_writes_count(
     fleet: EntryFleet,
 ) -> None:
-    earlier = fleet.copy_store()
+    older_copy = fleet.copy_store()
     fleet.write_entry("lookup-east", "draining")
     fleet.evacuate("b")
     fleet.remove("servers/lookup-third")
-    fleet.configure([QUERY, LOOKUP, NEW])
-    time.sleep(KNOWN_AFTER_S + 1.5)
-    assert asked(fleet) == {"lookup-fourth"}
-    known = fleet.store.revision
+    fleet.configure([QUERY, LOOKUP, NEW_ROUTE])
+    time.sleep(PROPAGATION_S + 1.5)
+    assert find_targets_used(fleet) == {"lookup-fourth"}
+    latest_revision = fleet.store.revision
 
-    fleet.set_store_back(earlier)
-    wait_until(lambda: asked(fleet) == {"lookup-fourth"}, 1.0, "the same targets")
-    time.sleep(KNOWN_AFTER_S)
-    assert asked(fleet) == {"lookup-fourth"}
+    fleet.set_store_back(older_copy)
+    wait_until(lambda: find_targets_used(fleet) == {"lookup-fourth"}, 1.0, "the same targets")
+    time.sleep(PROPAGATION_S)
+    assert find_targets_used(fleet) == {"lookup-fourth"}
 
-    # Under revisions that were given before: the third is there again, the fourth leaves.
+    # With revisions assigned before the restore: the third target returns, the fourth leaves.
     fleet.write_entry("lookup-third", "ready")
     fleet.write_entry("lookup-fourth", "draining")
-    assert fleet.store.revision <= known
-    time.sleep(KNOWN_AFTER_S)
-    assert asked(fleet) == {"lookup-third"}
+    assert fleet.store.revision <= latest_revision
+    time.sleep(PROPAGATION_S)
+    assert find_targets_used(fleet) == {"lookup-third"}
 
     fleet.write_entry("lookup-east", "draining")
     fleet.evacuate("b")
     fleet.evacuate("b", asked=False)
-    fleet.configure([QUERY, LOOKUP, NEW])
-    time.sleep(KNOWN_AFTER_S)
-    assert asked(fleet) == {"lookup-third", "lookup-west"}
+    fleet.configure([QUERY, LOOKUP, NEW_ROUTE])
+    time.sleep(PROPAGATION_S)
+    assert find_targets_used(fleet) == {"lookup-third", "lookup-west"}
--- a/tests/whole/test_target_faults.py
+++ b/tests/whole/test_target_faults.py
@@ -1,4 +1,4 @@
-"""Targets that straggle, die, lie, answer in half, move shards and leave, through real boxes."""
+"""Targets that are slow, die, misreport health, answer in part, move shards and leave."""
 
 import asyncio
 import json
@@ -14,8 +14,8 @@
 SERVICE = "ledger"
 
 
-def targets_of(fleet: SmallFleet) -> list[list[str]]:
-    """Return the targets' addresses by instance, read from the file in force."""
+def target_addresses(fleet: SmallFleet) -> list[list[str]]:
+    """Return the addresses of the targets by instance, read from the file in force."""
     text = fleet.http.get(f"http://{fleet.boxes[0].operators}/v1/files/test").text
     section = text.split("[targets ledger]")[1].split("[")[0]
     lines = [line for line in section.splitlines() if "=" in line]
@@ -26,12 +26,12 @@
 
 @pytest.fixture
 def targets(fleet: SmallFleet) -> Iterator[list[list[str]]]:
-    """Give the targets and make them sound again afterwards, each in a new boot."""
-    addresses = targets_of(fleet)
+    """Provide the targets; afterwards clear their faults and give each a new boot."""
+    addresses = target_addresses(fleet)
     yield addresses
     for instance, replicas in enumerate(addresses):
         for address in replicas:
-            sound = {
+            no_faults = {
                 "service_s": 0.004,
                 "slow_factor": 1.0,
                 "slow_share": 0.0,
@@ -42,12 +42,14 @@
                 "wrong_nonce": False,
                 "hang": False,
             }
-            fleet.control(address, new_boot=True, shards=content([1], 6, [instance]), **sound)
-    wait_for_whole(fleet)
+            fleet.control(
+                address, new_boot=True, shards=make_content([1], 6, [instance]), **no_faults
+            )
+    wait_for_complete_answers(fleet)
 
 
-def content(versions: list[int], map_size: int, shards: list[int]) -> dict[str, Any]:
-    """Return what a target holds, each item tagged with its version."""
+def make_content(versions: list[int], map_size: int, shards: list[int]) -> dict[str, Any]:
+    """Return the shards of a target by version, each item tagged with its version."""
     return {
         str(version): {
             "map_size": map_size,
@@ -57,14 +59,14 @@
     }
 
 
-def wait_for_whole(fleet: SmallFleet) -> None:
+def wait_for_complete_answers(fleet: SmallFleet) -> None:
     end = time.monotonic() + 15.0
     while time.monotonic() < end:
         answers = [fleet.query(box, "clerks-key", SERVICE) for box in fleet.boxes for _ in range(4)]
         if all(a.status_code == 200 and a.json()["version"] == 1 for a in answers):
             return
         time.sleep(0.1)
-    raise TimeoutError("the fleet does not answer whole again")
+    raise TimeoutError("no complete answers of version 1 from every box within 15 s")
 
 
 def callers_addresses(fleet: SmallFleet) -> list[str]:
@@ -93,7 +95,7 @@
     assert min(results.coverage) == 1.0
 
 
-def test_dead_instance_is_listed_as_lacking_or_given_up_at_once(
+def test_query_with_a_shedding_instance_fails_at_once_with_its_reason(
     fleet: SmallFleet, targets: list[list[str]]
 ) -> None:
     for address in targets[4]:
@@ -108,13 +110,13 @@
     assert set(reason_by_shard.values()) <= {"shed", "not_awaited"}
     assert int(response.headers["retry-after"]) >= 1
     assert body["retry_after_ms"] >= 50
-    assert took_s < 0.25, "at once, not at the deadline of 500 ms"
+    assert took_s < 0.25, "answered only near the deadline of 500 ms, not at once"
 
 
 def test_refused_query_is_logged_with_its_reasons(
     fleet: SmallFleet, targets: list[list[str]]
 ) -> None:
-    """On-call engineers could not tell overload from a pause by the logs."""
+    """Without the reasons, on-call engineers could not tell overload from a pause by the logs."""
     for address in targets[4]:
         fleet.control(address, shed=True)
     response = fleet.query(fleet.boxes[0], "clerks-key", SERVICE)
@@ -130,7 +132,7 @@
         for version in (2, 3, 4):
             for instance, replicas in enumerate(targets):
                 for address in replicas:
-                    shards = content([version], 6, [instance])
+                    shards = make_content([version], 6, [instance])
                     await asyncio.to_thread(fleet.control, address, shards=shards)
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.4)
@@ -142,20 +144,22 @@
 
 
 def test_repartition_under_load(fleet: SmallFleet, targets: list[list[str]]) -> None:
-    """Shards split in two, and each half moves to another instance than its first half."""
+    """Each shard splits in two, and its second half moves to another instance."""
 
     async def split(callers: Callers) -> None:
         await asyncio.sleep(0.5)
         for instance, replicas in enumerate(targets):
             for address in replicas:
                 moved = (instance + 1) % 6 + 6
-                both = content([1], 6, [instance]) | content([2], 12, [instance, moved])
-                await asyncio.to_thread(fleet.control, address, shards=both)
+                both_maps = make_content([1], 6, [instance]) | make_content(
+                    [2], 12, [instance, moved]
+                )
+                await asyncio.to_thread(fleet.control, address, shards=both_maps)
         await asyncio.sleep(0.3)
         for instance, replicas in enumerate(targets):
             for address in replicas:
                 moved = (instance + 1) % 6 + 6
-                after = content([2], 12, [instance, moved])
+                after = make_content([2], 12, [instance, moved])
                 await asyncio.to_thread(fleet.control, address, shards=after)
 
     results = run_queries(callers_addresses(fleet), "clerks", SERVICE, 50, 2.5, split)
@@ -166,14 +170,15 @@
 
 
 @pytest.mark.parametrize(
-    "lies", [pytest.param(False, id="health-page-says-so"), pytest.param(True, id="page-lies")]
+    "claims_healthy",
+    [pytest.param(False, id="health-page-says-so"), pytest.param(True, id="page-lies")],
 )
 def test_leaving_target_gets_nothing_new(
-    fleet: SmallFleet, targets: list[list[str]], lies: bool
+    fleet: SmallFleet, targets: list[list[str]], claims_healthy: bool
 ) -> None:
-    """Both replicas of one instance take turns, so that the leaving one would be asked."""
+    """Queries alternate between both replicas, so the leaving one would get some of them."""
     leaving = targets[3][0]
-    fleet.control(leaving, draining=True, lie_healthy=lies)
+    fleet.control(leaving, draining=True, lie_healthy=claims_healthy)
     started = time.time()
     results = run_queries(callers_addresses(fleet), "clerks", SERVICE, 40, 4.0)
     assert results.answered >= 158, results.codes
@@ -181,4 +186,6 @@
     assert counts["last_new_work"] - started < 2.0
     fleet.control(leaving, draining=False, lie_healthy=False, new_boot=True)
     run_queries(callers_addresses(fleet), "clerks", SERVICE, 40, 6.0)
-    assert fleet.counts(leaving)["queries"] > counts["queries"], "it is back"
+    assert (
+        fleet.counts(leaving)["queries"] > counts["queries"]
+    ), "the target gets no work after its return"
--- a/tests/whole/test_tls.py
+++ b/tests/whole/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS through real boxes: rotation without a restart, impostors, callers and operators."""
+"""TLS at real boxes: rotation without a restart, impersonation, callers and operators."""
 
 import shutil
 import signal
@@ -25,12 +25,12 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SmallFleet]:
-    """Run three boxes whose operators must show a certificate."""
+    """Run three boxes whose operators must present a certificate."""
     folder = tmp_path_factory.mktemp("tls")
     path = write_file(folder, [ServiceShape(SERVICE, 3, 2)])
-    with SmallFleet(PLACES, [path], https=True) as running:
-        assert running.apply(path)["outcome"] == "accepted"
-        yield running
+    with SmallFleet(PLACES, [path], https=True) as started_fleet:
+        assert started_fleet.apply(path)["outcome"] == "accepted"
+        yield started_fleet
 
 
 def fleet_context(authority: Path, issued: tuple[Path, Path]) -> ssl.SSLContext:
@@ -42,7 +42,7 @@
 
 
 def is_admitted(fleet: SmallFleet, context: ssl.SSLContext, claimed_id: str) -> bool:
-    """Return whether a peer with a certificate stays linked under an id that it claims."""
+    """Return whether a box keeps a link with a peer that claims an id."""
     box = fleet.boxes[0]
     identity = [claimed_id, "boot", "127.0.0.1:9", "here", "here-a"]
     try:
@@ -57,8 +57,8 @@
     return True
 
 
-def hang_up(fleet: SmallFleet) -> None:
-    """Tell every box to read its certificates anew, and wait until each has."""
+def reload_certificates(fleet: SmallFleet) -> None:
+    """Send SIGHUP to every box and wait until each has read its certificates again."""
     before = [fleet.log(box.box_id).count("for operators") for box in fleet.boxes]
     for box in fleet.boxes:
         fleet.signal_box(box, signal.SIGHUP)
@@ -68,11 +68,11 @@
             for box, count in zip(fleet.boxes, before, strict=True)
         ),
         5.0,
-        "reading certificates anew",
+        "reading the certificates again",
     )
 
 
-def test_box_may_not_call_itself_another(fleet: SmallFleet, tmp_path: Path) -> None:
+def test_peer_id_must_match_its_certificate(fleet: SmallFleet, tmp_path: Path) -> None:
     assert fleet.authority is not None
     issued = fleet.authority.issue("box-7")
     context = fleet_context(fleet.authority.path, issued)
@@ -89,7 +89,7 @@
         pytest.param([], 1, id="no-tls"),
     ],
 )
-def test_operators_show_a_certificate(fleet: SmallFleet, options: list[str], expected: int) -> None:
+def test_operators_need_a_certificate(fleet: SmallFleet, options: list[str], expected: int) -> None:
     assert fleet.authority is not None
     certificate, key = fleet.authority.issue("operator")
     value_by_option = {
@@ -97,58 +97,63 @@
         "--certificate": certificate,
         "--private-key": key,
     }
-    words = [f"{option}={value_by_option[option]}" for option in options]
-    assert main(["show", f"--box={fleet.boxes[1].operators}", *words]) == expected
+    arguments = [f"{option}={value_by_option[option]}" for option in options]
+    assert main(["show", f"--box={fleet.boxes[1].operators}", *arguments]) == expected
 
 
-def test_callers_come_over_https(fleet: SmallFleet, tmp_path: Path) -> None:
+def test_callers_use_https(fleet: SmallFleet, tmp_path: Path) -> None:
     assert fleet.authority is not None
     key_file = tmp_path / "key"
     key_file.write_text("clerks-key")
-    words = ["query", SERVICE, f"--key-file={key_file}", f"--callers={fleet.boxes[2].callers}"]
-    assert main([*words, f"--authority={fleet.authority.path}"]) == 0
-    assert main(words) == 1
+    arguments = ["query", SERVICE, f"--key-file={key_file}", f"--callers={fleet.boxes[2].callers}"]
+    assert main([*arguments, f"--authority={fleet.authority.path}"]) == 0
+    assert main(arguments) == 1
 
 
-def test_broken_certificate_leaves_the_old_one(fleet: SmallFleet) -> None:
+def test_unreadable_certificate_keeps_the_old_one(fleet: SmallFleet) -> None:
     path = fleet.folder / "box-1.pem"
-    sound = path.read_bytes()
+    original = path.read_bytes()
     path.write_text("nonsense")
-    hang_up(fleet)
+    reload_certificates(fleet)
     assert "cannot be read; the old ones stay" in fleet.log("box-1")
-    path.write_bytes(sound)
-    hang_up(fleet)
+    path.write_bytes(original)
+    reload_certificates(fleet)
     assert fleet.query(fleet.boxes[1], "clerks-key", SERVICE).status_code == 200
 
 
 def test_authority_is_replaced_without_a_restart(fleet: SmallFleet, tmp_path: Path) -> None:
-    """Trust both, show the new one, trust only the new one; a new box joins, an old one cannot."""
+    """Trust both authorities, present new certificates, then trust only the new authority.
+
+    A box with a new certificate joins; one with an old certificate is refused.
+    """
     old = fleet.authority
     assert old is not None
-    stale = fleet_context(old.path, old.issue("box-8"))
-    assert is_admitted(fleet, stale, "box-8")
+    old_context = fleet_context(old.path, old.issue("box-8"))
+    assert is_admitted(fleet, old_context, "box-8")
     new = Authority(tmp_path, "new-authority")
     trusted = old.path
     old_text = trusted.read_bytes()
     trusted.write_bytes(old_text + new.path.read_bytes())
-    hang_up(fleet)
+    reload_certificates(fleet)
     for box in fleet.boxes:
         for source in new.issue(box.box_id):
             shutil.copy(source, fleet.folder / source.name)
-    hang_up(fleet)
+    reload_certificates(fleet)
     trusted.write_bytes(new.path.read_bytes())
-    hang_up(fleet)
+    reload_certificates(fleet)
     fleet.take_authority(new)
-    fresh = fleet_context(new.path, new.issue("box-9"))
-    assert is_admitted(fleet, fresh, "box-9")
+    new_context = fleet_context(new.path, new.issue("box-9"))
+    assert is_admitted(fleet, new_context, "box-9")
     assert not is_admitted(fleet, fleet_context(new.path, old.issue("box-8")), "box-8")
     leaving = fleet.boxes[2]
     fleet.signal_box(leaving, signal.SIGTERM)
     assert fleet.process_by_name[leaving.box_id].wait(timeout=10) == 0, fleet.log(leaving.box_id)
     fleet.start_box(leaving, issue=False)
-    wait_until(lambda: fleet.members_seen(fleet.boxes[0]) == 3, 10.0, "the new boot's joining")
+    wait_until(
+        lambda: fleet.members_seen(fleet.boxes[0]) == 3, 10.0, "the join of the restarted box"
+    )
     deadline = time.monotonic() + 5.0
     while time.monotonic() < deadline:
         if fleet.query(fleet.boxes[0], "clerks-key", SERVICE).json().get("whole"):
             return
-    raise AssertionError("no whole answer")
+    raise AssertionError("no complete answer within 5 s of the restart")
