--- a/tests/telemetry/test_event_loop.py
+++ b/tests/telemetry/test_event_loop.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from trackwheel.telemetry.event_loop import CHECK_PERIOD_S, report_late_wakes
+from trackwheel.telemetry.event_loop import CHECK_PERIOD_S, report_event_loop_lag
 from trackwheel.telemetry.events import EventLog
 
 PAUSE_S = 0.3
@@ -14,7 +14,7 @@
 
 async def _run(log: EventLog, pause_s: float) -> None:
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(report_late_wakes, log)
+        tasks.start_soon(report_event_loop_lag, log)
         await anyio.sleep(CHECK_PERIOD_S / 2)
         time.sleep(pause_s)
         await anyio.sleep(CHECK_PERIOD_S)
--- a/tests/telemetry/test_figures.py
+++ b/tests/telemetry/test_figures.py
@@ -8,9 +8,9 @@
 def test_figures_are_served_as_text() -> None:
     figures = Figures()
     sends = Counter({("hedge", "far"): 3})
-    figures.add_counts("target_sends_total", "Sends", ("reason", "distance"), lambda: sends)
-    figures.add_reading("members", "Boxes", lambda: 7.0)
-    figures.request_ended("r", 0.03)
+    figures.add_counters("target_sends_total", "Sends", ("reason", "distance"), lambda: sends)
+    figures.add_gauge("members", "Boxes", lambda: 7.0)
+    figures.observe_request("r", 0.03)
     text = figures.render()[0].decode()
     assert 'trackwheel_target_sends_total{distance="far",reason="hedge"} 3' in text
     assert "trackwheel_members 7" in text
@@ -22,7 +22,7 @@
 def test_many_routes_do_not_grow_the_page() -> None:
     figures = Figures()
     for number in range(10_000):
-        figures.request_ended(f"r{number}", 0.1)
+        figures.observe_request(f"r{number}", 0.1)
     text = figures.render()[0].decode()
     assert text.count("trackwheel_request_seconds_count") <= MAX_ROUTES + 2
     assert 'route="other"' in text
--- a/tests/telemetry/test_report.py
+++ b/tests/telemetry/test_report.py
@@ -10,7 +10,7 @@
 from trackwheel.cli import main
 from trackwheel.telemetry.report import BoxRow, RouteRow, SpanRow, make_report
 from trackwheel.telemetry.report_page import render_report, render_report_page
-from trackwheel.telemetry.story import LogLine, read_log
+from trackwheel.telemetry.timeline import LogLine, read_log
 
 
 def line(box: str, at: float, event: str, collected: bool = True, **fields: Any) -> LogLine:
--- a/tests/telemetry/test_story.py
+++ b/tests/telemetry/test_timeline.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from trackwheel.telemetry.story import read_log, tell_story
+from trackwheel.telemetry.timeline import make_timeline, read_log
 
 LOG = """\
   1.23 front-1 {"at":10.2,"box":"front-1","event":"target_failed","id":"a","target":"i-1","outcome":"not_run","detail":"status 503"}
@@ -36,12 +36,12 @@
     ],
 )
 def test_cause(request_id: str, cause: str) -> None:
-    assert tell_story(read_log(LOG), request_id).cause == cause
+    assert make_timeline(read_log(LOG), request_id).cause == cause
 
 
 def test_lines_of_peers_come_before_those_of_the_answering_box() -> None:
-    story = tell_story(read_log(LOG), "a")
-    assert [(line.box, line.event) for line in story.lines] == [
+    timeline = make_timeline(read_log(LOG), "a")
+    assert [(line.box, line.event) for line in timeline.lines] == [
         ("front-2", "group_end"),
         ("front-1", "target_failed"),
         ("front-1", "query_partial"),
--- a/trackwheel/app.py
+++ b/trackwheel/app.py
@@ -37,7 +37,7 @@
 from trackwheel.storage.held import KeyValueHeldStore
 from trackwheel.targets.client import AiohttpTargetClient
 from trackwheel.telemetry.burn import Burn
-from trackwheel.telemetry.event_loop import report_late_wakes
+from trackwheel.telemetry.event_loop import report_event_loop_lag
 from trackwheel.telemetry.events import EventLog
 from trackwheel.telemetry.explain import Traces
 from trackwheel.telemetry.logs import Log
@@ -219,7 +219,7 @@
             tasks.start_soon(box.dispatch.run)
             tasks.start_soon(box.quarantine.run)
             tasks.start_soon(box.queries.watch_owners)
-            tasks.start_soon(report_late_wakes, box.events)
+            tasks.start_soon(report_event_loop_lag, box.events)
             callers = box.callers_app()
             tasks.start_soon(box.forwarder.run, callers.serve_forward)
             await _serve_until_stopped(box, callers)
--- a/trackwheel/entry/figures.py
+++ b/trackwheel/entry/figures.py
@@ -33,19 +33,19 @@
 def add_figures(figures: Figures, box: CountedParts) -> None:
     """Serve what the parts of a box count, and some of its values."""
     directory = box.directory
-    figures.add_counts(
+    figures.add_counters(
         "requests_total",
         "Requests by how they ended",
         ("kind",),
         lambda: box.relay.ended_by_kind,
     )
-    figures.add_counts(
+    figures.add_counters(
         "target_sends_total",
         "Requests sent to targets, by why and how far",
         ("reason", "distance"),
         lambda: box.transport.sent_by_reason,
     )
-    figures.add_counts(
+    figures.add_counters(
         "target_ends_total",
         "Requests at targets by how they ended",
         ("outcome",),
@@ -80,4 +80,4 @@
         ("under_way", "Requests under way", lambda: float(box.clients.busy)),
         ("lines_dropped", "Log lines dropped", lambda: float(box.log.dropped)),
     ):
-        figures.add_reading(name, text, reading)
+        figures.add_gauge(name, text, reading)
--- a/trackwheel/gateway/target_selector.py
+++ b/trackwheel/gateway/target_selector.py
@@ -20,7 +20,7 @@
     TARGET_STATS_TTL_S,
 )
 from trackwheel.stalls import StallFilter
-from trackwheel.telemetry.const import LEAST_US, MOST_US
+from trackwheel.telemetry.const import MAX_LATENCY_US, MIN_LATENCY_US
 
 _DIGITS = 2
 _MIN_SAMPLES = 50
@@ -30,8 +30,8 @@
     """Sliding-window estimate of a high latency percentile."""
 
     def __init__(self) -> None:
-        self._current: Any = HdrHistogram(LEAST_US, MOST_US, _DIGITS)
-        self._previous: Any = HdrHistogram(LEAST_US, MOST_US, _DIGITS)
+        self._current: Any = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, _DIGITS)
+        self._previous: Any = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, _DIGITS)
         self._rotate_at = 0.0
         self._refresh_at = 0.0
         self._quantile_s = DEFAULT_HEDGE_DELAY_S
@@ -42,7 +42,7 @@
             self._current, self._previous = self._previous, self._current
             self._current.reset()
             self._rotate_at = now + LATENCY_WINDOW_S
-        self._current.record_value(max(LEAST_US, min(MOST_US, int(seconds * 1e6))))
+        self._current.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, int(seconds * 1e6))))
 
     def quantile(self, now: float) -> float:
         """Return the latency percentile that is used as the hedge delay (seconds)."""
--- a/trackwheel/log_commands.py
+++ b/trackwheel/log_commands.py
@@ -8,7 +8,7 @@
 from trackwheel.errors import CommandError
 from trackwheel.telemetry.report import FleetReport, make_report
 from trackwheel.telemetry.report_page import render_report, render_report_page
-from trackwheel.telemetry.story import LogLine, read_log, render_story, tell_story
+from trackwheel.telemetry.timeline import LogLine, make_timeline, read_log, render_timeline
 
 EXIT_DONE: Final = 0
 EXIT_FAILED: Final = 1
@@ -16,12 +16,12 @@
 
 def explain_logs(arguments: dict[str, Any]) -> int:
     """Tell the story of a request from the logs of several boxes."""
-    story = tell_story(_read_logs(arguments["FILE"]), arguments["ID"])
+    timeline = make_timeline(_read_logs(arguments["FILE"]), arguments["ID"])
     if arguments["--json"]:
-        _print_json({"cause": story.cause, "lines": [line._asdict() for line in story.lines]})
+        _print_json({"cause": timeline.cause, "lines": [line._asdict() for line in timeline.lines]})
     else:
-        print(render_story(story))
-    return EXIT_DONE if story.lines else EXIT_FAILED
+        print(render_timeline(timeline))
+    return EXIT_DONE if timeline.lines else EXIT_FAILED
 
 
 def report_logs(arguments: dict[str, Any]) -> int:
--- a/trackwheel/relay/service.py
+++ b/trackwheel/relay/service.py
@@ -261,7 +261,7 @@
         result: Gathered | GatherFailed | SingleAnswered | SingleFailed,
     ) -> None:
         age_s = steady_now() - request.http.arrived
-        self._figures.request_ended(route.name, age_s)
+        self._figures.observe_request(route.name, age_s)
         took_ms = round(age_s * MILLISECONDS, 1)
         common: dict[str, str | float] = {
             "id": request.request_id,
--- a/trackwheel/telemetry/burn.py
+++ b/trackwheel/telemetry/burn.py
@@ -12,8 +12,8 @@
     FAST_WINDOW_S,
     GOOD,
     LATE,
-    LEAST_US,
-    MOST_US,
+    MAX_LATENCY_US,
+    MIN_LATENCY_US,
     SLOW_WINDOW_S,
 )
 from trackwheel.telemetry.models import BurnRow
@@ -36,7 +36,7 @@
     def __init__(self, objective: float) -> None:
         self.objective = objective
         self.buckets: deque[_Bucket] = deque(maxlen=int(SLOW_WINDOW_S / BUCKET_S))
-        self.latencies = HdrHistogram(LEAST_US, MOST_US, 2)
+        self.latencies = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, 2)
 
     def bucket(self, now: float) -> _Bucket:
         start = now - now % BUCKET_S
@@ -75,7 +75,7 @@
         bucket.total += 1
         if cause != GOOD:
             bucket.bad_by_cause[cause] = bucket.bad_by_cause.get(cause, 0) + 1
-        account.latencies.record_value(max(LEAST_US, min(MOST_US, int(took_s * 1e6))))
+        account.latencies.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, int(took_s * 1e6))))
 
     def rows(self) -> list[BurnRow]:
         """Return the report of this box."""
--- a/trackwheel/telemetry/const.py
+++ b/trackwheel/telemetry/const.py
@@ -12,5 +12,5 @@
 SLOW_WINDOW_S: Final = 3600.0
 GOOD: Final = "good"
 LATE: Final = "late"
-LEAST_US: Final = 1
-MOST_US: Final = 60_000_000
+MIN_LATENCY_US: Final = 1
+MAX_LATENCY_US: Final = 60_000_000
--- a/trackwheel/telemetry/event_loop.py
+++ b/trackwheel/telemetry/event_loop.py
@@ -12,7 +12,7 @@
 LATE_WAKE_S: Final = 0.04
 
 
-async def report_late_wakes(log: EventLog) -> None:
+async def report_event_loop_lag(log: EventLog) -> None:
     """Write an event for each timer that fired late, until cancelled.
 
     A paused or starved process delays its own timers: times that it measured meanwhile are not
--- a/trackwheel/telemetry/figures.py
+++ b/trackwheel/telemetry/figures.py
@@ -32,7 +32,7 @@
         self._readings: list[tuple[Gauge, Reading]] = []
         self._counts: list[tuple[Counter, tuple[str, ...], Counts]] = []
 
-    def request_ended(self, route: str, took_s: float) -> None:
+    def observe_request(self, route: str, took_s: float) -> None:
         """Take the time of one request of a client (seconds)."""
         if route not in self._routes:
             if len(self._routes) >= MAX_ROUTES:
@@ -40,12 +40,12 @@
             self._routes.add(route)
         self._seconds.observe({"route": route}, took_s)
 
-    def add_reading(self, name: str, text: str, reading: Reading) -> None:
+    def add_gauge(self, name: str, text: str, reading: Reading) -> None:
         """Serve a value of the moment."""
         gauge = Gauge(f"trackwheel_{name}", text, registry=self._registry)
         self._readings.append((gauge, reading))
 
-    def add_counts(self, name: str, text: str, labels: tuple[str, ...], counts: Counts) -> None:
+    def add_counters(self, name: str, text: str, labels: tuple[str, ...], counts: Counts) -> None:
         """Serve counts that a part keeps, by the values of some labels."""
         counter = Counter(f"trackwheel_{name}", text, registry=self._registry)
         self._counts.append((counter, labels, counts))
--- a/trackwheel/telemetry/report.py
+++ b/trackwheel/telemetry/report.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import Any, Final, NamedTuple
 
-from trackwheel.telemetry.story import LogLine
+from trackwheel.telemetry.timeline import LogLine
 
 ANSWERED: Final = ("query_whole", "query_partial", "request_end")
 SPAN_S: Final = 2.0
--- a/trackwheel/telemetry/story.py
+++ b/trackwheel/telemetry/timeline.py
@@ -22,7 +22,7 @@
     collected_at: float | None = None
 
 
-class Story(NamedTuple):
+class Timeline(NamedTuple):
     """What boxes wrote of one request, the answering box last, and the cause of its end."""
 
     lines: list[LogLine]
@@ -54,23 +54,23 @@
         return None
 
 
-def tell_story(lines: Iterable[LogLine], request_id: str) -> Story:
+def make_timeline(lines: Iterable[LogLine], request_id: str) -> Timeline:
     """Return what boxes wrote of a request and why it ended as it did."""
     own = [line for line in lines if line.fields.get("id") == request_id]
     end = next((line for line in own if line.event in ENDS), None)
     answering = end.box if end else ""
     own.sort(key=lambda line: (line.box == answering, line.box, line.at))
-    return Story(own, _cause(own, end))
+    return Timeline(own, _cause(own, end))
 
 
-def render_story(story: Story) -> str:
+def render_timeline(timeline: Timeline) -> str:
     """Return a story as text: a line for each event, and the cause."""
     texts: list[str] = []
-    for line in story.lines:
+    for line in timeline.lines:
         shown = {name: value for name, value in line.fields.items() if name != "id"}
         fields = " ".join(f"{name}={value}" for name, value in shown.items())
         texts.append(f"{line.box} {line.at:.3f} {line.event} {fields}")
-    return "\n".join([*texts, f"cause: {story.cause}"])
+    return "\n".join([*texts, f"cause: {timeline.cause}"])
 
 
 def _cause(lines: list[LogLine], end: LogLine | None) -> str:
