--- a/tests/telemetry/test_event_loop.py
+++ b/tests/telemetry/test_event_loop.py
@@ -1,4 +1,4 @@
-"""A box that was kept from running says so."""
+"""A process that was paused reports its event loop lag."""
 
 import json
 import os
--- a/tests/telemetry/test_event_names.py
+++ b/tests/telemetry/test_event_names.py
@@ -1,4 +1,4 @@
-"""The events in the code are those that the operators' page lists."""
+"""The events in the code are exactly those listed in docs/OPERATIONS.md."""
 
 import re
 from pathlib import Path
--- a/tests/telemetry/test_events.py
+++ b/tests/telemetry/test_events.py
@@ -1,10 +1,10 @@
-"""Structured events: bounded, and never waiting for a slow reader."""
+"""Structured events: rate-limited, and never blocked by a slow reader."""
 
 import json
 import os
 import time
 
-from trackwheel.telemetry.events import BURST_LINES, MAX_WAITING_BYTES, EventLog
+from trackwheel.telemetry.events import BURST_LINES, MAX_BUFFERED_BYTES, EventLog
 
 
 def read_bytes(descriptor: int) -> bytes:
@@ -36,7 +36,7 @@
     }
 
 
-def test_a_flood_of_one_kind_leaves_room_for_others() -> None:
+def test_flood_of_one_kind_does_not_suppress_others() -> None:
     reader, writer = os.pipe()
     log = EventLog("box-1", writer)
     for number in range(1000):
@@ -47,7 +47,7 @@
     assert lines[-1]["event"] == "rare"
 
 
-def test_left_out_lines_are_counted() -> None:
+def test_suppressed_lines_are_counted() -> None:
     reader, writer = os.pipe()
     log = EventLog("box-1", writer)
     for _ in range(100):
@@ -57,7 +57,7 @@
     assert read_all(reader)[-1]["left_out"] == 100 - BURST_LINES
 
 
-def test_slow_reader_loses_lines_and_never_blocks() -> None:
+def test_slow_reader_drops_lines_and_does_not_block() -> None:
     reader, writer = os.pipe()
     log = EventLog("box-1", writer)
     for number in range(2000):
@@ -72,10 +72,10 @@
     assert kinds[0] == "kind-0"
     assert kinds[-1] == "after-19"
     assert len(kinds) == 2020 - log.dropped
-    assert MAX_WAITING_BYTES < 2000 * 500
+    assert MAX_BUFFERED_BYTES < 2000 * 500
 
 
-def test_reader_that_is_gone_ends_nothing() -> None:
+def test_closed_reader_does_not_raise() -> None:
     reader, writer = os.pipe()
     os.close(reader)
     log = EventLog("box-1", writer)
--- a/tests/telemetry/test_explain.py
+++ b/tests/telemetry/test_explain.py
@@ -1,10 +1,10 @@
-"""Explanations: bounded in number and in all, whatever the fan-out."""
+"""Traces: bounded in number and in total steps, whatever the fan-out."""
 
-from trackwheel.telemetry.const import MAX_STEPS_OF_ALL, MAX_TRACES
+from trackwheel.telemetry.const import MAX_TOTAL_STEPS, MAX_TRACES
 from trackwheel.telemetry.explain import Traces
 
 
-def test_oldest_traces_are_forgotten() -> None:
+def test_oldest_traces_are_evicted() -> None:
     traces = Traces()
     for number in range(MAX_TRACES + 5):
         traces.open(f"q{number}", "s", "g")
@@ -18,12 +18,12 @@
         trace = traces.open(f"q{number}", "s", "g")
         for _ in range(600):
             trace.note("ask")
-    assert traces.steps <= MAX_STEPS_OF_ALL + 400
+    assert traces.steps <= MAX_TOTAL_STEPS + 400
     assert traces.get("q299") is not None
     assert traces.get("q0") is None
 
 
-def test_forgotten_trace_counts_no_more() -> None:
+def test_evicted_trace_does_not_count_towards_the_limit() -> None:
     traces = Traces()
     first = traces.open("q", "s", "g")
     first.note("ask")
@@ -32,7 +32,7 @@
     assert traces.steps == 0
 
 
-def test_trace_opened_again_begins_anew() -> None:
+def test_trace_opened_again_starts_empty() -> None:
     traces = Traces()
     traces.open("id", "s", "g").note("ask")
     traces.open("id", "s", "g")
--- a/tests/telemetry/test_figures.py
+++ b/tests/telemetry/test_figures.py
@@ -1,11 +1,11 @@
-"""Figures of a box as text."""
+"""Metrics of a box on the platform as text."""
 
 from collections import Counter
 
 from trackwheel.telemetry.figures import MAX_ROUTES, Figures
 
 
-def test_figures_are_served_as_text() -> None:
+def test_metrics_are_rendered_as_text() -> None:
     figures = Figures()
     sends = Counter({("hedge", "far"): 3})
     figures.add_counters("target_sends_total", "Sends", ("reason", "distance"), lambda: sends)
@@ -19,7 +19,7 @@
     assert 'reason="hedge"} 4' in figures.render()[0].decode()
 
 
-def test_many_routes_do_not_grow_the_page() -> None:
+def test_number_of_route_histograms_is_bounded() -> None:
     figures = Figures()
     for number in range(10_000):
         figures.observe_request(f"r{number}", 0.1)
--- a/tests/telemetry/test_logs.py
+++ b/tests/telemetry/test_logs.py
@@ -1,4 +1,4 @@
-"""Log sentences never stop a box."""
+"""Log messages never block a box."""
 
 import os
 
@@ -7,8 +7,8 @@
 LINE = "x" * 999 + "\n"
 
 
-def test_slow_reader_loses_lines_and_stops_nothing() -> None:
-    """A box whose output nobody read stood still at its next line."""
+def test_slow_reader_drops_lines_and_does_not_block() -> None:
+    """A box whose output nobody read used to block at its next log line."""
     reader, writer = os.pipe()
     stream = DroppingStream(writer)
     for _ in range(1000):
--- a/tests/telemetry/test_report.py
+++ b/tests/telemetry/test_report.py
@@ -8,7 +8,7 @@
 import pytest
 
 from trackwheel.cli import main
-from trackwheel.telemetry.report import BoxRow, RouteRow, SpanRow, make_report
+from trackwheel.telemetry.report import BoxRow, IntervalRow, RouteRow, make_report
 from trackwheel.telemetry.report_page import render_report, render_report_page
 from trackwheel.telemetry.timeline import LogLine, read_log
 
@@ -39,20 +39,24 @@
 ]
 
 
-def test_routes_say_who_waited_and_who_was_refused() -> None:
+def test_route_row_counts_each_kind_of_end() -> None:
     (row,) = make_report(LINES).routes
     assert row == RouteRow("r", 5, 1, 1, 1, 1, 1, 0.1, 101.0, 101.0)
 
 
-def test_boxes_count_over_their_lives() -> None:
+def test_box_row_sums_over_restarts() -> None:
     boxes = {row.box: row for row in make_report(LINES).boxes}
     assert boxes["b"] == BoxRow("b", "d2", 0, 7, 8, 10, 1, 1, 6, 0)
     assert boxes["a"].taken == 5
 
 
-def test_course_over_time() -> None:
+def test_ends_by_interval() -> None:
     spans = make_report(LINES).spans
-    assert spans == [SpanRow(0.0, 1, 1, 0, 0), SpanRow(2.0, 0, 0, 1, 1), SpanRow(4.0, 0, 0, 0, 0)]
+    assert spans == [
+        IntervalRow(0.0, 1, 1, 0, 0),
+        IntervalRow(2.0, 0, 0, 1, 1),
+        IntervalRow(4.0, 0, 0, 0, 0),
+    ]
 
 
 def test_reasons_and_failures() -> None:
@@ -68,13 +72,13 @@
 
 
 @pytest.mark.parametrize("render", [render_report, render_report_page])
-def test_everything_is_shown(render: Any) -> None:
+def test_report_shows_every_table(render: Any) -> None:
     text = render(make_report(LINES))
     for shown in ("d1", "d2", "no target is known", "not_sent", "in_time"):
         assert shown in text
 
 
-def test_page_needs_nothing_else_and_hides_no_markup() -> None:
+def test_page_is_self_contained_and_escapes_markup() -> None:
     page = render_report_page(make_report([end(0.1, "given_up", ran=True, reason="<b>")]))
     assert "&lt;b&gt;" in page
     assert "src=" not in page and "href=" not in page
@@ -103,6 +107,6 @@
     assert main(["report", str(log), "--json"]) == code
 
 
-def test_missing_file_is_named(capsys: pytest.CaptureFixture[str]) -> None:
+def test_missing_file_is_reported(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["report", "/nothing/here"]) == 1
     assert "/nothing/here" in capsys.readouterr().err
--- a/tests/telemetry/test_timeline.py
+++ b/tests/telemetry/test_timeline.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, over the logs of several boxes."""
+"""The cause of a request's end, found by its id in the logs of several boxes."""
 
 import pytest
 
@@ -39,7 +39,7 @@
     assert make_timeline(read_log(LOG), request_id).cause == cause
 
 
-def test_lines_of_peers_come_before_those_of_the_answering_box() -> None:
+def test_peer_lines_come_before_those_of_the_answering_box() -> None:
     timeline = make_timeline(read_log(LOG), "a")
     assert [(line.box, line.event) for line in timeline.lines] == [
         ("front-2", "group_end"),
@@ -48,6 +48,6 @@
     ]
 
 
-def test_other_lines_are_passed_over() -> None:
+def test_lines_of_other_programs_are_skipped() -> None:
     assert len(read_log(LOG)) == 11
     assert read_log("") == []
--- a/trackwheel/telemetry/burn.py
+++ b/trackwheel/telemetry/burn.py
@@ -1,4 +1,4 @@
-"""Service-level burn: how fast each group's error budget at each service is used up."""
+"""Service-level burn rates: how fast each group uses up its error budget at each service."""
 
 import time
 from collections import deque
@@ -20,7 +20,7 @@
 
 
 class _Bucket:
-    """Count the ends of queries for some seconds."""
+    """Count query outcomes in one interval of BUCKET_S."""
 
     __slots__ = ("bad_by_cause", "start", "total")
 
@@ -30,7 +30,7 @@
         self.bad_by_cause: dict[str, int] = {}
 
 
-class _Account:
+class _BurnCounts:
     """Hold one group's counts at one service."""
 
     def __init__(self, objective: float) -> None:
@@ -45,7 +45,7 @@
         return self.buckets[-1]
 
     def rate(self, window_s: float, now: float) -> float:
-        """Return the part of bad ends over the part that the objective allows."""
+        """Return the share of bad outcomes over the share that the objective allows."""
         recent = [bucket for bucket in self.buckets if bucket.start > now - window_s]
         total = sum(bucket.total for bucket in recent)
         bad = sum(sum(bucket.bad_by_cause.values()) for bucket in recent)
@@ -56,65 +56,65 @@
 
 
 class Burn:
-    """Count how queries end and report the burn."""
+    """Count query outcomes and report burn rates."""
 
     def __init__(self) -> None:
-        self._account_by_group_and_service: dict[tuple[str, str], _Account] = {}
+        self._counts_by_group_and_service: dict[tuple[str, str], _BurnCounts] = {}
 
     def count(
         self, group: str, service: ServiceSpec, policy: Policy, outcome: str, took_s: float
     ) -> None:
-        """Count one query; a whole answer after its deadline is bad as well."""
+        """Count one query; a complete answer after its deadline is bad as well."""
         key = (group, service.name)
-        account = self._account_by_group_and_service.get(key)
-        if account is None:
-            account = self._account_by_group_and_service[key] = _Account(service.objective)
-        account.objective = service.objective
+        counts = self._counts_by_group_and_service.get(key)
+        if counts is None:
+            counts = self._counts_by_group_and_service[key] = _BurnCounts(service.objective)
+        counts.objective = service.objective
         cause = LATE if outcome == GOOD and took_s > policy.deadline_s else outcome
-        bucket = account.bucket(time.time())
+        bucket = counts.bucket(time.time())
         bucket.total += 1
         if cause != GOOD:
             bucket.bad_by_cause[cause] = bucket.bad_by_cause.get(cause, 0) + 1
-        account.latencies.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, int(took_s * 1e6))))
+        counts.latencies.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, int(took_s * 1e6))))
 
     def rows(self) -> list[BurnRow]:
-        """Return the report of this box."""
+        """Return the burn rows of this box."""
         now = time.time()
         return [
-            self._row(group, service, account, now)
-            for (group, service), account in sorted(self._account_by_group_and_service.items())
+            self._row(group, service, counts, now)
+            for (group, service), counts in sorted(self._counts_by_group_and_service.items())
         ]
 
-    def _row(self, group: str, service: str, account: _Account, now: float) -> BurnRow:
+    def _row(self, group: str, service: str, counts: _BurnCounts, now: float) -> BurnRow:
         bad: dict[str, int] = {}
-        for bucket in account.buckets:
+        for bucket in counts.buckets:
             for cause, count in bucket.bad_by_cause.items():
                 bad[cause] = bad.get(cause, 0) + count
-        slow_rate = account.rate(SLOW_WINDOW_S, now)
+        slow_rate = counts.rate(SLOW_WINDOW_S, now)
         return BurnRow(
             group=group,
             service=service,
-            objective=account.objective,
-            total=sum(bucket.total for bucket in account.buckets),
+            objective=counts.objective,
+            total=sum(bucket.total for bucket in counts.buckets),
             bad_by_cause=bad,
-            fast_rate=account.rate(FAST_WINDOW_S, now),
+            fast_rate=counts.rate(FAST_WINDOW_S, now),
             slow_rate=slow_rate,
             budget_left=max(0.0, 1.0 - slow_rate),
-            p50_ms=account.latencies.get_value_at_percentile(50) / 1000,
-            p99_ms=account.latencies.get_value_at_percentile(99) / 1000,
+            p50_ms=counts.latencies.get_value_at_percentile(50) / 1000,
+            p99_ms=counts.latencies.get_value_at_percentile(99) / 1000,
         )
 
 
 def merge_rows(rows: Iterable[BurnRow]) -> list[BurnRow]:
     """Return one row for each group and service from the rows of several boxes.
 
-    Rates are weighted by the boxes' counts; of percentiles the worst box's is shown.
+    Rates are weighted by the boxes' query counts; percentiles are those of the worst box.
     """
     merged: dict[tuple[str, str], BurnRow] = {}
     for row in rows:
         key = (row.group, row.service)
-        old = merged.get(key)
-        merged[key] = row if old is None else _merge(old, row)
+        previous = merged.get(key)
+        merged[key] = row if previous is None else _merge(previous, row)
     return [merged[key] for key in sorted(merged)]
 
 
--- a/trackwheel/telemetry/const.py
+++ b/trackwheel/telemetry/const.py
@@ -1,11 +1,11 @@
-"""Bounds and windows of what the box tells about itself."""
+"""Limits and time windows of the telemetry of a box."""
 
 from typing import Final
 
 MAX_TRACES: Final = 2_000
-MAX_STEPS: Final = 400
-MAX_STEPS_OF_ALL: Final = 40_000
-"""Bounds the memory of all traces to some ten megabytes, whatever the fan-out."""
+MAX_STEPS_PER_TRACE: Final = 400
+MAX_TOTAL_STEPS: Final = 40_000
+"""Limits the memory of all traces to some ten megabytes, whatever the fan-out."""
 
 BUCKET_S: Final = 10.0
 FAST_WINDOW_S: Final = 300.0
--- a/trackwheel/telemetry/events.py
+++ b/trackwheel/telemetry/events.py
@@ -1,4 +1,4 @@
-"""Structured events: one JSON line each to standard output, bounded and never blocking."""
+"""Structured events: one JSON line each on standard output, rate-limited and non-blocking."""
 
 import os
 import sys
@@ -9,28 +9,28 @@
 from trackwheel.clock import steady_now
 
 LINES_PER_KIND_S: Final = 20.0
-"""Lines of one kind that are written each second; more are counted, not written."""
+"""Lines of one kind written per second; further ones are only counted."""
 BURST_LINES: Final = 40.0
-"""Lines of one kind that may come at once."""
-MAX_WAITING_BYTES: Final = 256 * 1024
-"""Bytes that wait for a slow reader; beyond them lines are dropped and counted."""
+"""Lines of one kind that may be written at once."""
+MAX_BUFFERED_BYTES: Final = 256 * 1024
+"""Bytes buffered for a slow reader; beyond that, lines are dropped and counted."""
 
 Field = str | int | float | bool | None
 
 
-class _Allowance:
-    """Let so many lines of one kind pass."""
+class _TokenBucket:
+    """Limit the rate of lines of one kind."""
 
     def __init__(self, now: float) -> None:
         self._tokens = BURST_LINES
-        self._at = now
-        self.left_out = 0
+        self._refilled_at = now
+        self.suppressed = 0
 
     def take(self, now: float) -> bool:
-        self._tokens = min(BURST_LINES, self._tokens + (now - self._at) * LINES_PER_KIND_S)
-        self._at = now
+        self._tokens = min(BURST_LINES, self._tokens + (now - self._refilled_at) * LINES_PER_KIND_S)
+        self._refilled_at = now
         if self._tokens < 1.0:
-            self.left_out += 1
+            self.suppressed += 1
             return False
         self._tokens -= 1.0
         return True
@@ -42,38 +42,38 @@
     def __init__(self, box_id: str, descriptor: int | None = None) -> None:
         self._box_id = box_id
         self._descriptor = sys.stdout.fileno() if descriptor is None else descriptor
-        self._allowance_by_kind: dict[str, _Allowance] = {}
-        self._waiting = bytearray()
+        self._bucket_by_kind: dict[str, _TokenBucket] = {}
+        self._buffer = bytearray()
         self._encoder = msgspec.json.Encoder()
         self.dropped = 0
         os.set_blocking(self._descriptor, False)
 
     def write(self, kind: str, **fields: Field) -> None:
-        """Write one event unless its kind has had its share of lines."""
+        """Write one event unless its kind exceeds its rate limit."""
         now = steady_now()
-        allowance = self._allowance_by_kind.get(kind)
-        if allowance is None:
-            allowance = self._allowance_by_kind[kind] = _Allowance(now)
-        if not allowance.take(now):
+        bucket = self._bucket_by_kind.get(kind)
+        if bucket is None:
+            bucket = self._bucket_by_kind[kind] = _TokenBucket(now)
+        if not bucket.take(now):
             return
         line: dict[str, Field] = {"at": round(now, 4), "box": self._box_id, "event": kind}
         line.update(fields)
-        if allowance.left_out:
-            line["left_out"], allowance.left_out = allowance.left_out, 0
-        self._put(self._encoder.encode(line) + b"\n")
+        if bucket.suppressed:
+            line["left_out"], bucket.suppressed = bucket.suppressed, 0
+        self._write_line(self._encoder.encode(line) + b"\n")
 
-    def _put(self, line: bytes) -> None:
-        if len(self._waiting) + len(line) > MAX_WAITING_BYTES:
+    def _write_line(self, line: bytes) -> None:
+        if len(self._buffer) + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        self._waiting += line
+        self._buffer += line
         try:
-            written = os.write(self._descriptor, self._waiting)
+            written = os.write(self._descriptor, self._buffer)
         except BlockingIOError:
-            # The reader is slow; the bytes wait for the next event.
+            # The reader is slow; the next event writes the buffered bytes.
             return
         except OSError:
-            # Nobody reads any more.
+            # The reading end is closed.
             self.dropped += 1
-            written = len(self._waiting)
-        del self._waiting[:written]
+            written = len(self._buffer)
+        del self._buffer[:written]
--- a/trackwheel/telemetry/explain.py
+++ b/trackwheel/telemetry/explain.py
@@ -1,9 +1,9 @@
-"""Why answers came out as they did: a bounded record of each query's steps."""
+"""Traces that explain answers: the steps of the latest queries, bounded in memory."""
 
 from collections import OrderedDict
 
 from trackwheel.clock import steady_now
-from trackwheel.telemetry.const import MAX_STEPS, MAX_STEPS_OF_ALL, MAX_TRACES
+from trackwheel.telemetry.const import MAX_STEPS_PER_TRACE, MAX_TOTAL_STEPS, MAX_TRACES
 from trackwheel.telemetry.models import Step, StepRow, TraceReport
 
 
@@ -13,9 +13,9 @@
     __slots__ = (
         "_traces",
         "group",
-        "kept",
         "outcome",
         "query_id",
+        "retained",
         "service",
         "started",
         "steps",
@@ -30,20 +30,20 @@
         self.started = steady_now()
         self.steps: list[Step] = []
         self.outcome = "under way"
-        self.kept = True
+        self.retained = True
         self.took_ms = 0.0
 
     def note(
         self, what: str, instance: int = -1, target: str = "", owner: str = "", detail: str = ""
     ) -> None:
-        """Note a step."""
-        if self.kept and len(self.steps) < MAX_STEPS:
+        """Record a step."""
+        if self.retained and len(self.steps) < MAX_STEPS_PER_TRACE:
             at_ms = (steady_now() - self.started) * 1000
             self.steps.append(Step(at_ms, what, instance, target, owner, detail))
             self._traces.steps += 1
 
     def end(self, outcome: str) -> None:
-        """Note how the query ended."""
+        """Record how the query ended."""
         self.outcome = outcome
         self.took_ms = (steady_now() - self.started) * 1000
 
@@ -79,21 +79,21 @@
         self.steps = 0
 
     def open(self, query_id: str, service: str, group: str) -> Trace:
-        """Begin a trace and forget the oldest ones when there are too many."""
-        self._forget(query_id)
+        """Start a trace and evict the oldest ones beyond the limits."""
+        self._evict(query_id)
         trace = self._trace_by_id[query_id] = Trace(self, query_id, service, group)
-        while len(self._trace_by_id) > MAX_TRACES or self.steps > MAX_STEPS_OF_ALL:
-            self._forget(next(iter(self._trace_by_id)))
+        while len(self._trace_by_id) > MAX_TRACES or self.steps > MAX_TOTAL_STEPS:
+            self._evict(next(iter(self._trace_by_id)))
         return trace
 
-    def _forget(self, query_id: str) -> None:
-        forgotten = self._trace_by_id.pop(query_id, None)
-        if forgotten is not None:
-            forgotten.kept = False
-            self.steps -= len(forgotten.steps)
+    def _evict(self, query_id: str) -> None:
+        evicted = self._trace_by_id.pop(query_id, None)
+        if evicted is not None:
+            evicted.retained = False
+            self.steps -= len(evicted.steps)
 
     def get(self, query_id: str) -> Trace | None:
-        """Return a trace, None when it is not known (any more)."""
+        """Return a trace, None when it is unknown or evicted."""
         return self._trace_by_id.get(query_id)
 
     def latest(self) -> list[str]:
--- a/trackwheel/telemetry/logs.py
+++ b/trackwheel/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Logs: short sentences with a fixed prefix for each part, as text or JSON lines."""
+"""Log messages with the name of their component, as text or JSON lines."""
 
 import json
 import os
@@ -8,31 +8,31 @@
 
 
 class Log:
-    """Write log sentences for one part of the box."""
+    """Write log messages of one component of the box."""
 
-    def __init__(self, part: str) -> None:
-        self._part = part
-        self._logger = logbook.Logger(part)
+    def __init__(self, component: str) -> None:
+        self._component = component
+        self._logger = logbook.Logger(component)
 
-    def debug(self, sentence: str) -> None:
-        """Note what only a developer follows."""
-        self._logger.debug(sentence)
+    def debug(self, message: str) -> None:
+        """Log a detail for developers."""
+        self._logger.debug(message)
 
-    def info(self, sentence: str) -> None:
-        """Note a change that an operator may want to see."""
-        self._logger.info(sentence)
+    def info(self, message: str) -> None:
+        """Log a change that operators may want to see."""
+        self._logger.info(message)
 
-    def warning(self, sentence: str) -> None:
-        """Note what an operator should look at."""
-        self._logger.warning(sentence)
+    def warning(self, message: str) -> None:
+        """Log a condition that operators should look at."""
+        self._logger.warning(message)
 
-    def error(self, sentence: str) -> None:
-        """Note what an operator must act on."""
-        self._logger.error(sentence)
+    def error(self, message: str) -> None:
+        """Log a condition that operators must act on."""
+        self._logger.error(message)
 
 
 class DroppingStream:
-    """Write text to a descriptor, and drop it where a slow reader leaves no room."""
+    """Write text to a descriptor; drop it when a slow reader leaves no room."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -40,7 +40,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Write one line, or drop it; never blocks and never fails."""
+        """Write one line or drop it; never blocks or raises."""
         try:
             os.write(self._descriptor, text.encode())
         except OSError:
@@ -58,12 +58,12 @@
 
 
 def set_up_logs(log_format: str, level: str) -> None:
-    """Send logs to standard error in the wanted form."""
-    text = "{record.time:%Y-%m-%dT%H:%M:%S.%f} {record.level_name} [{record.channel}] "
+    """Send logs to standard error in the configured format."""
+    prefix = "{record.time:%Y-%m-%dT%H:%M:%S.%f} {record.level_name} [{record.channel}] "
     handler = logbook.StreamHandler(
         DroppingStream(sys.stderr.fileno()),
         level=level.upper(),
-        format_string=text + "{record.message}",
+        format_string=prefix + "{record.message}",
     )
     if log_format == "json":
         handler.formatter = _format_json
--- a/trackwheel/telemetry/metrics.py
+++ b/trackwheel/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one box, collected from its parts when somebody reads them."""
+"""Metrics of one box, collected from its components when they are rendered."""
 
 from collections.abc import Callable
 
@@ -11,17 +11,17 @@
 
 
 class Metrics:
-    """Ask every part for its samples and render them."""
+    """Collect samples from all sources and render them."""
 
     def __init__(self) -> None:
         self._sources: list[Source] = []
 
     def add(self, source: Source) -> None:
-        """Add a part that gives samples."""
+        """Add a source of samples."""
         self._sources.append(source)
 
     def render(self, accept: list[str]) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics in the form that the reader accepts, and its headers."""
+        """Return the metrics in a format that the client accepts, and the response headers."""
         registry = Registry()
         gauge_by_name: dict[str, Gauge] = {}
         for source in self._sources:
--- a/trackwheel/telemetry/models.py
+++ b/trackwheel/telemetry/models.py
@@ -1,4 +1,4 @@
-"""What the box tells about itself: samples, steps of queries, rows of the burn report."""
+"""Telemetry models: metric samples, steps of queries, rows of the burn report."""
 
 from typing import NamedTuple, TypedDict
 
@@ -13,7 +13,7 @@
 
 
 class Step(NamedTuple):
-    """Note one step of a query; `at_ms` counts from its start."""
+    """Record one step of a query; `at_ms` counts from its start."""
 
     at_ms: float
     what: str
@@ -24,7 +24,7 @@
 
 
 class StepRow(TypedDict):
-    """Show one step to an operator."""
+    """Report one step to an operator."""
 
     at_ms: float
     what: str
@@ -35,7 +35,7 @@
 
 
 class TraceReport(TypedDict):
-    """Show one query to an operator; keys and contents are never part of it."""
+    """Report one query to an operator; never contains keys or request contents."""
 
     id: str
     service: str
@@ -47,7 +47,7 @@
 
 
 class BurnRow(NamedTuple):
-    """Report one group at one service; a rate of 1 uses up the budget just in time."""
+    """Report one group at one service; a rate of 1 uses up the error budget exactly in time."""
 
     group: str
     service: str
--- a/trackwheel/telemetry/report.py
+++ b/trackwheel/telemetry/report.py
@@ -1,4 +1,4 @@
-"""What the logs of a fleet say of a span of time: who waited, who was refused, where work went."""
+"""Report over the logs of a fleet: how requests ended, why, and which boxes did the work."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -6,14 +6,14 @@
 
 from trackwheel.telemetry.timeline import LogLine
 
-ANSWERED: Final = ("query_whole", "query_partial", "request_end")
-SPAN_S: Final = 2.0
-"""Width of one step of the courses over time (seconds)."""
+ANSWER_EVENTS: Final = ("query_whole", "query_partial", "request_end")
+INTERVAL_S: Final = 2.0
+"""Width of one interval of the time series (seconds)."""
 CONNECTION_FAILED: Final = "not_sent"
 
 
 class RouteRow(NamedTuple):
-    """How the requests of one route ended; `left_out` is the mean share of shards that lacked."""
+    """How the requests of one route ended; `left_out` is the mean share of missing shards."""
 
     route: str
     asked: int
@@ -28,7 +28,7 @@
 
 
 class BoxRow(NamedTuple):
-    """What one box did, over all its lives in the logs."""
+    """What one box did, summed over its restarts in the logs."""
 
     box: str
     domain: str
@@ -42,8 +42,8 @@
     peer_messages: int
 
 
-class SpanRow(NamedTuple):
-    """How the requests that ended in one span did; `start` is seconds from the first line."""
+class IntervalRow(NamedTuple):
+    """How requests ended in one interval; `start` is in seconds from the first line."""
 
     start: float
     in_time: int
@@ -53,18 +53,18 @@
 
 
 class FleetReport(NamedTuple):
-    """Everything that the report shows."""
+    """All tables of the report."""
 
     routes: list[RouteRow]
     boxes: list[BoxRow]
-    spans: list[SpanRow]
+    spans: list[IntervalRow]
     reasons: Counter[tuple[str, str]]
     failures: Counter[tuple[str, str]]
     left_out_lines: int
 
 
-class _Life(NamedTuple):
-    """The counts of one life of a box, from its last summary."""
+class _ProcessCounts(NamedTuple):
+    """The counts of one process of a box, from its last summary."""
 
     store_calls: int
     repeats_denied: int
@@ -76,15 +76,15 @@
 def make_report(lines: Iterable[LogLine]) -> FleetReport:
     """Return the report over the lines of all boxes.
 
-    Times are those of the collector where every line has one; else each box counts from its own
-    first line, so that the courses over time are rough.
+    Times are those of the log collector if every line has one; otherwise each box counts from its
+    own first line, and the time series is approximate.
     """
     ordered = list(lines)
-    ends = [line for line in ordered if _end_kind(line)]
+    ends = [line for line in ordered if _classify_end(line)]
     return FleetReport(
         routes=_routes(ends),
         boxes=_boxes(ordered),
-        spans=_spans(ends, _starts(ordered)),
+        spans=_intervals(ends, _start_times(ordered)),
         reasons=Counter(
             (str(line.fields.get("route", "")), str(line.fields.get("reason", "")))
             for line in ends
@@ -99,9 +99,9 @@
     )
 
 
-def _end_kind(line: LogLine) -> str:
-    """Return how a request ended by a line, empty for lines that say nothing of that."""
-    if line.event in ANSWERED:
+def _classify_end(line: LogLine) -> str:
+    """Return how a request ended by its log line; empty for lines of other kinds."""
+    if line.event in ANSWER_EVENTS:
         aim_ms = line.fields.get("aim_ms")
         return "late" if aim_ms is not None and line.fields["took_ms"] > aim_ms else "in_time"
     if line.event == "given_up":
@@ -117,10 +117,12 @@
 
 
 def _route(route: str, ends: list[LogLine]) -> RouteRow:
-    kinds = Counter(_end_kind(line) for line in ends)
-    answered = [line.fields for line in ends if line.event in ANSWERED]
+    kinds = Counter(_classify_end(line) for line in ends)
+    answered = [line.fields for line in ends if line.event in ANSWER_EVENTS]
     took_ms = sorted(float(fields["took_ms"]) for fields in answered)
-    lacked = [fields.get("missing", 0) / max(1, fields.get("shards", 1)) for fields in answered]
+    missing_shares = [
+        fields.get("missing", 0) / max(1, fields.get("shards", 1)) for fields in answered
+    ]
     return RouteRow(
         route,
         len(ends),
@@ -129,7 +131,7 @@
         kinds["refused"],
         kinds["failed"],
         kinds["left"],
-        sum(lacked) / max(1, len(lacked)),
+        sum(missing_shares) / max(1, len(missing_shares)),
         _quantile(took_ms, 0.5),
         _quantile(took_ms, 0.99),
     )
@@ -147,50 +149,50 @@
 
 
 def _box(box: str, lines: list[LogLine]) -> BoxRow:
-    lives = _lives(lines)
+    processes = _process_counts(lines)
     started = next((line for line in lines if line.event == "started"), None)
     return BoxRow(
         box=box,
         domain=str(started.fields.get("domain", "")) if started else "",
-        taken=sum(1 for line in lines if _end_kind(line)),
+        taken=sum(1 for line in lines if _classify_end(line)),
         shards_for_peers=sum(
             int(line.fields.get("shards", 0)) for line in lines if line.event == "group_end"
         ),
-        store_calls=sum(life.store_calls for life in lives),
-        sends=sum(life.sends for life in lives),
+        store_calls=sum(process.store_calls for process in processes),
+        sends=sum(process.sends for process in processes),
         failed_connections=sum(
             line.event == "target_failed" and line.fields.get("outcome") == CONNECTION_FAILED
             for line in lines
         ),
-        repeats_denied=sum(life.repeats_denied for life in lives),
-        peer_kilobytes=sum(life.peer_bytes for life in lives) // 1000,
-        peer_messages=sum(life.peer_messages for life in lives),
+        repeats_denied=sum(process.repeats_denied for process in processes),
+        peer_kilobytes=sum(process.peer_bytes for process in processes) // 1000,
+        peer_messages=sum(process.peer_messages for process in processes),
     )
 
 
-def _lives(lines: list[LogLine]) -> list[_Life]:
-    """Return the counts of each life of a box; a start begins them anew."""
-    last_by_life: dict[int, dict[str, Any]] = {}
-    life = 0
+def _process_counts(lines: list[LogLine]) -> list[_ProcessCounts]:
+    """Return the counts of each process of a box; they restart at zero with each process."""
+    summary_by_process: dict[int, dict[str, Any]] = {}
+    process = 0
     for line in lines:
         if line.event == "started":
-            life += 1
+            process += 1
         elif line.event == "summary":
-            last_by_life[life] = line.fields
+            summary_by_process[process] = line.fields
     return [
-        _Life(
+        _ProcessCounts(
             int(fields.get("store_calls", 0)),
             int(fields.get("repeats_denied", 0)),
             int(fields.get("peer_bytes", 0)),
             int(fields.get("peer_messages", 0)),
             sum(int(number) for name, number in fields.items() if name.startswith("sent_")),
         )
-        for fields in last_by_life.values()
+        for fields in summary_by_process.values()
     ]
 
 
-def _starts(lines: list[LogLine]) -> dict[str, float]:
-    """Return the time from which each box's lines count; the same for all with a collector's."""
+def _start_times(lines: list[LogLine]) -> dict[str, float]:
+    """Return the start of each box's time series: one for all if the collector wrote the times."""
     if lines and all(line.collected_at is not None for line in lines):
         first = min(line.collected_at or 0.0 for line in lines)
         return dict.fromkeys((line.box for line in lines), first)
@@ -200,13 +202,19 @@
     return start_by_box
 
 
-def _spans(ends: list[LogLine], start_by_box: dict[str, float]) -> list[SpanRow]:
-    kinds_by_span: dict[int, Counter[str]] = {}
+def _intervals(ends: list[LogLine], start_by_box: dict[str, float]) -> list[IntervalRow]:
+    kinds_by_interval: dict[int, Counter[str]] = {}
     for line in ends:
         at = line.at if line.collected_at is None else line.collected_at
-        span = int((at - start_by_box[line.box]) / SPAN_S)
-        kinds_by_span.setdefault(span, Counter())[_end_kind(line)] += 1
+        interval = int((at - start_by_box[line.box]) / INTERVAL_S)
+        kinds_by_interval.setdefault(interval, Counter())[_classify_end(line)] += 1
     return [
-        SpanRow(span * SPAN_S, kinds["in_time"], kinds["late"], kinds["refused"], kinds["failed"])
-        for span, kinds in sorted(kinds_by_span.items())
+        IntervalRow(
+            interval * INTERVAL_S,
+            kinds["in_time"],
+            kinds["late"],
+            kinds["refused"],
+            kinds["failed"],
+        )
+        for interval, kinds in sorted(kinds_by_interval.items())
     ]
--- a/trackwheel/telemetry/report_page.py
+++ b/trackwheel/telemetry/report_page.py
@@ -5,14 +5,14 @@
 from html import escape
 from typing import Any, Final, NamedTuple
 
-from trackwheel.telemetry.report import SPAN_S, BoxRow, FleetReport, RouteRow, SpanRow
+from trackwheel.telemetry.report import INTERVAL_S, BoxRow, FleetReport, IntervalRow, RouteRow
 
-SHOWN_BOXES: Final = 12
-"""Busiest boxes that the text names; the page has them all."""
-SHOWN_REASONS: Final = 12
+MAX_SHOWN_BOXES: Final = 12
+"""Busiest boxes that the text report lists; the page lists all."""
+MAX_SHOWN_REASONS: Final = 12
 BAR_WIDTH: Final = 6
 PLOT_HEIGHT: Final = 120
-SPAN_COLOURS: Final = (
+OUTCOME_COLOURS: Final = (
     ("in_time", "#393"),
     ("late", "#d90"),
     ("refused", "#38c"),
@@ -45,7 +45,7 @@
 
 def render_report(report: FleetReport) -> str:
     """Return the report as text."""
-    texts = [_text(table) for table in _tables(report, SHOWN_BOXES)]
+    texts = [_text(table) for table in _tables(report, MAX_SHOWN_BOXES)]
     if report.left_out_lines:
         texts.append(
             f"{report.left_out_lines} lines were left out by the boxes to bound their logs"
@@ -56,7 +56,7 @@
 def render_report_page(report: FleetReport) -> str:
     """Return the report as a page."""
     tables = "\n".join(_html(table) for table in _tables(report, len(report.boxes)))
-    return _PAGE.format(course=_course(report.spans), tables=tables)
+    return _PAGE.format(course=_time_chart(report.spans), tables=tables)
 
 
 def _tables(report: FleetReport, boxes: int) -> list[Table]:
@@ -64,20 +64,22 @@
     return [
         Table("requests by route", RouteRow._fields, report.routes),
         Table(
-            "given up, by route and reason", ("route", "reason", "times"), _counted(report.reasons)
+            "given up, by route and reason",
+            ("route", "reason", "times"),
+            _rows_by_count(report.reasons),
         ),
         Table(
             "failed at targets, by outcome and cause of the send",
             ("outcome", "why sent", "times"),
-            _counted(report.failures),
+            _rows_by_count(report.failures),
         ),
         Table("by failure domain", BoxRow._fields, _by_domain(report.boxes)),
         Table("by box, most sends first", BoxRow._fields, busiest),
     ]
 
 
-def _counted(counter: Counter[tuple[str, str]]) -> list[tuple[str, str, int]]:
-    return [(*key, times) for key, times in counter.most_common(SHOWN_REASONS)]
+def _rows_by_count(counter: Counter[tuple[str, str]]) -> list[tuple[str, str, int]]:
+    return [(*key, times) for key, times in counter.most_common(MAX_SHOWN_REASONS)]
 
 
 def _by_domain(boxes: Sequence[BoxRow]) -> list[tuple[Any, ...]]:
@@ -95,14 +97,14 @@
     ]
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if not isinstance(value, float):
         return str(value)
     return f"{value:.3g}" if value < 1.0 else f"{value:.0f}"
 
 
 def _text(table: Table) -> str:
-    cells = [list(table.columns), *([_shown(value) for value in row] for row in table.rows)]
+    cells = [list(table.columns), *([_format_value(value) for value in row] for row in table.rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     lines = [
         "  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True))
@@ -114,27 +116,28 @@
 def _html(table: Table) -> str:
     head = "".join(f"<th>{escape(name)}" for name in table.columns)
     body = "\n".join(
-        "<tr>" + "".join(f"<td>{escape(_shown(value))}" for value in row) for row in table.rows
+        "<tr>" + "".join(f"<td>{escape(_format_value(value))}" for value in row)
+        for row in table.rows
     )
     return f"<h2>{escape(table.title)}</h2><table><tr>{head}</tr>\n{body}</table>"
 
 
-def _course(spans: Sequence[SpanRow]) -> str:
-    """Draw how requests ended over time: a stacked bar for each span."""
+def _time_chart(spans: Sequence[IntervalRow]) -> str:
+    """Draw how requests ended over time: one stacked bar per interval."""
     if not spans:
         return "<p>No request ended.</p>"
-    most = max(sum(row[1:]) for row in spans)
-    bars = "".join(_bar(row, most) for row in spans)
+    largest_total = max(sum(row[1:]) for row in spans)
+    bars = "".join(_bar(row, largest_total) for row in spans)
     width = BAR_WIDTH * (len(spans) + 1) * 2
     return f'<svg width="{width}" height="{PLOT_HEIGHT}">{bars}</svg>'
 
 
-def _bar(row: SpanRow, most: int) -> str:
+def _bar(row: IntervalRow, largest_total: int) -> str:
     parts: list[str] = []
     top = float(PLOT_HEIGHT)
-    left = row.start / SPAN_S * BAR_WIDTH
-    for name, colour in SPAN_COLOURS:
-        height = getattr(row, name) / most * PLOT_HEIGHT
+    left = row.start / INTERVAL_S * BAR_WIDTH
+    for name, colour in OUTCOME_COLOURS:
+        height = getattr(row, name) / largest_total * PLOT_HEIGHT
         top -= height
         parts.append(
             f'<rect x="{left:.0f}" y="{top:.1f}" width="{BAR_WIDTH - 1}" height="{height:.1f}" '
--- a/trackwheel/telemetry/samples.py
+++ b/trackwheel/telemetry/samples.py
@@ -1,4 +1,4 @@
-"""The samples that one box gives when its metrics are read."""
+"""Metric samples of one box."""
 
 import time
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 class SampledParts(NamedTuple):
-    """The parts of a box that are asked for samples."""
+    """The components of a box that samples are taken from."""
 
     hub: Hub
     fleet: FleetService
@@ -49,7 +49,7 @@
     return [
         Sample("trackwheel_files_revision", "Revision in force.", {}, files.manifest.revision),
         Sample("trackwheel_files_refused_revision", "Unreadable.", {}, files.refused_revision),
-        Sample("trackwheel_store_age_seconds", "Since the store answered.", {}, age_s),
+        Sample("trackwheel_store_age_seconds", "Seconds since the store answered.", {}, age_s),
         Sample("trackwheel_store_calls", "Calls on the store.", {}, box.store.calls),
     ]
 
@@ -57,20 +57,22 @@
 def _gateway(box: SampledParts) -> list[Sample]:
     queries = box.queries
     samples = [
-        Sample("trackwheel_queries_running", "Queries under way.", {}, queries.running),
+        Sample("trackwheel_queries_running", "Queries in progress.", {}, queries.running),
         Sample("trackwheel_foreign_answers", "Dropped answers.", {}, queries.foreign_answers),
     ]
     for service, budget in queries.budgets().items():
         labels = {"service": service}
         first, extra, denied = budget.first_attempts, budget.extras, budget.denied
         samples += [
-            Sample("trackwheel_sub_requests_first", "First tries.", labels, first),
+            Sample("trackwheel_sub_requests_first", "First attempts.", labels, first),
             Sample("trackwheel_sub_requests_extra", "Hedges and retries.", labels, extra),
-            Sample("trackwheel_sub_requests_denied", "Extras over budget.", labels, denied),
+            Sample(
+                "trackwheel_sub_requests_denied", "Extras denied by the budget.", labels, denied
+            ),
         ]
     for (group, service), size in queries.window_sizes().items():
         labels = {"group": group, "service": service}
-        samples.append(Sample("trackwheel_window", "Queries let in at once.", labels, size))
+        samples.append(Sample("trackwheel_window", "Limit of concurrent queries.", labels, size))
     for outcome, count in box.once.count_by_outcome.items():
         labels = {"outcome": outcome}
         samples.append(Sample("trackwheel_once", "Requests run at most once.", labels, count))
--- a/trackwheel/telemetry/timeline.py
+++ b/trackwheel/telemetry/timeline.py
@@ -1,18 +1,25 @@
-"""The story of one request, from the log lines of several boxes on the platform."""
+"""Timeline of one request, from the log lines of several boxes on the platform."""
 
 import json
 from collections.abc import Iterable
 from typing import Any, Final, NamedTuple
 
-ENDS: Final = ("query_whole", "query_partial", "request_end", "given_up", "client_left", "no_route")
-"""Events with which the box that took a request says how it ended."""
+END_EVENTS: Final = (
+    "query_whole",
+    "query_partial",
+    "request_end",
+    "given_up",
+    "client_left",
+    "no_route",
+)
+"""Events with which the box that received a request logs how it ended."""
 
 
 class LogLine(NamedTuple):
-    """One event; `at` is steady time of its own box, not comparable with that of others.
+    """One event; `at` is the monotonic time of its box, not comparable between boxes.
 
-    `collected_at` is the time that whoever collected the logs wrote before the line (seconds),
-    None where there is none.
+    `collected_at` is the time that the log collector wrote before the line (seconds), None if
+    there is none.
     """
 
     box: str
@@ -23,21 +30,21 @@
 
 
 class Timeline(NamedTuple):
-    """What boxes wrote of one request, the answering box last, and the cause of its end."""
+    """What boxes logged about one request, the answering box last, and the cause of its end."""
 
     lines: list[LogLine]
     cause: str
 
 
 def read_log(text: str) -> list[LogLine]:
-    """Return the events of a log; whatever stands before a line's object is passed over."""
+    """Return the events of a log; text before the JSON object of a line is skipped."""
     found: list[LogLine] = []
     for line in text.splitlines():
         start = line.find("{")
         try:
             fields = json.loads(line[start:]) if start >= 0 else None
         except ValueError:
-            # Lines of other programs, and the last one of a box that was killed.
+            # A line of another program, or the truncated last line of a killed box.
             continue
         if isinstance(fields, dict) and {"at", "box", "event"} <= fields.keys():
             keys = (fields.pop("box"), fields.pop("at"), fields.pop("event"))
@@ -46,7 +53,7 @@
 
 
 def _leading_number(text: str) -> float | None:
-    """Return the number at the start of a text, None when there is none."""
+    """Return the number at the start of a text, None if there is none."""
     first = text.split(maxsplit=1)[:1]
     try:
         return float(first[0]) if first else None
@@ -55,16 +62,16 @@
 
 
 def make_timeline(lines: Iterable[LogLine], request_id: str) -> Timeline:
-    """Return what boxes wrote of a request and why it ended as it did."""
-    own = [line for line in lines if line.fields.get("id") == request_id]
-    end = next((line for line in own if line.event in ENDS), None)
+    """Return what boxes logged about a request and why it ended as it did."""
+    matching = [line for line in lines if line.fields.get("id") == request_id]
+    end = next((line for line in matching if line.event in END_EVENTS), None)
     answering = end.box if end else ""
-    own.sort(key=lambda line: (line.box == answering, line.box, line.at))
-    return Timeline(own, _cause(own, end))
+    matching.sort(key=lambda line: (line.box == answering, line.box, line.at))
+    return Timeline(matching, _cause(matching, end))
 
 
 def render_timeline(timeline: Timeline) -> str:
-    """Return a story as text: a line for each event, and the cause."""
+    """Return a timeline as text: a line for each event, and the cause."""
     texts: list[str] = []
     for line in timeline.lines:
         shown = {name: value for name, value in line.fields.items() if name != "id"}
@@ -87,14 +94,14 @@
             return f"version {end.fields.get('version')} has no route for {end.fields.get('path')}"
         case "given_up":
             ran = "targets may have run it" if end.fields.get("ran") else "no target ran it"
-            return f"given up {took}, {ran}: {_why(lines, end)}"
+            return f"given up {took}, {ran}: {_reason(lines, end)}"
         case "query_partial":
-            return f"answered {took} ({end.fields.get('reason')}) without {_why(lines, end)}"
+            return f"answered {took} ({end.fields.get('reason')}) without {_reason(lines, end)}"
     return f"answered {took}"
 
 
-def _why(lines: list[LogLine], end: LogLine) -> str:
-    """Return what is known of the shards that lack, or of the target that failed last."""
+def _reason(lines: list[LogLine], end: LogLine) -> str:
+    """Return why shards are missing, or how the last failing target failed."""
     lacking = end.fields.get("lacking")
     if lacking:
         return str(lacking)
