--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -160,7 +160,7 @@
         TRUTH,
         COVERAGE,
         "a whole instance sheds",
-        TARGETS + "test_dead_instance_is_listed_as_lacking_or_given_up_at_once",
+        TARGETS + "test_query_with_a_shedding_instance_fails_at_once_with_its_reason",
     ),
     Row(
         TRUTH,
@@ -206,12 +206,17 @@
             "            if True:\n",
         ),
     ),
-    Row(TRUTH, OWN, "digest, length and end mark", WHOLE + "test_answer_carries_its_own_digest"),
+    Row(
+        TRUTH,
+        OWN,
+        "digest, length and end mark",
+        WHOLE + "test_answer_has_its_digest_length_and_end_mark",
+    ),
     Row(
         TRUTH,
         OWN,
         "no key, a wrong key, another group's service",
-        WHOLE + "test_refusals",
+        WHOLE + "test_invalid_requests_are_refused_with_their_error_code",
     ),
     Row(
         TRUTH,
@@ -228,13 +233,13 @@
         TRUTH,
         AT_MOST_ONCE,
         "600 requests while a box freezes, one dies, targets lose replies and shed",
-        BOXES + "test_once_while_boxes_freeze_die_and_targets_lose_replies",
+        BOXES + "test_requests_run_at_most_once_while_boxes_freeze_die_and_targets_lose_replies",
     ),
     Row(
         TRUTH,
         AT_MOST_ONCE,
         "a caller repeats at another box",
-        WHOLE + "test_request_runs_once_at_any_box",
+        WHOLE + "test_repeated_id_returns_the_first_answer_at_any_box",
         Mutant(
             "trackwheel/gateway/ledger.py",
             "        if record.outcome is not None:\n            return Decision(Verdict.FINAL",
@@ -421,13 +426,13 @@
         LOAD,
         STOP,
         "work of 300 ms in flight",
-        BOXES + "test_long_work_in_flight_outlives_a_planned_stop",
+        BOXES + "test_planned_stop_finishes_a_slow_query_in_flight",
     ),
     Row(
         LOAD,
         MEMBERSHIP,
         "reads while a box is killed, frozen, frozen and woken",
-        BOXES + "test_reads_ride_over_a_lost_box",
+        BOXES + "test_queries_survive_a_lost_box",
     ),
     Row(
         FILES,
@@ -489,32 +494,37 @@
         FILES,
         IN_FORCE,
         "the box that applies is killed at each step of a slow store",
-        STORE + "test_apply_killed_at_any_step_is_whole_or_nothing",
+        STORE + "test_apply_is_atomic_when_its_box_is_killed",
+    ),
+    Row(
+        FILES,
+        IN_FORCE,
+        "ten operators race at real boxes",
+        STORE + "test_ten_concurrent_applies_do_not_overwrite_each_other",
     ),
-    Row(FILES, IN_FORCE, "ten operators race at real boxes", STORE + "test_ten_racing_operators"),
     Row(
         FILES,
         IN_FORCE,
         "one, two and three lost replies",
-        STORE + "test_lost_replies_are_not_called_failed",
+        STORE + "test_lost_store_replies_do_not_fail_an_apply",
     ),
     Row(
         FILES,
         IN_FORCE,
         "an older store is restored",
-        STORE + "test_store_that_comes_back_older_is_brought_forward",
+        STORE + "test_store_restored_from_an_older_copy_is_updated",
     ),
     Row(
         FILES,
         IN_FORCE,
         "the store is down and all boxes but one are replaced",
-        STORE + "test_box_replaced_in_an_outage_takes_the_files_from_its_peers",
+        STORE + "test_box_restarted_during_a_store_outage_gets_the_files_from_its_peers",
     ),
     Row(
         FILES,
         IN_FORCE,
         "a box freezes, a file is applied, the box wakes",
-        STORE + "test_frozen_box_that_wakes_with_old_files_moves_forward",
+        STORE + "test_resumed_box_with_old_files_catches_up",
     ),
     Row(
         FILES,
@@ -589,20 +599,20 @@
         FLEET,
         MEMBERSHIP,
         "a lost box through real processes, killed and frozen",
-        BOXES + "test_lost_box_is_noticed_within_two_seconds",
+        BOXES + "test_lost_box_is_detected_within_two_seconds",
     ),
     Row(
         FLEET,
         MEMBERSHIP,
         "a stranger without a certificate",
-        STORE + "test_stranger_without_a_certificate_learns_nothing",
+        STORE + "test_peer_without_a_certificate_receives_no_message",
         Mutant("trackwheel/tls.py", "ssl.CERT_REQUIRED", "ssl.CERT_NONE"),
     ),
     Row(
         FLEET,
         MEMBERSHIP,
         "a box with a sound certificate calls itself another one",
-        TLS + "test_box_may_not_call_itself_another",
+        TLS + "test_peer_id_must_match_its_certificate",
         Mutant("trackwheel/peers/certificate.py", "identity.box_id not in names", "False"),
     ),
     Row(
@@ -616,7 +626,7 @@
         FLEET,
         MEMBERSHIP,
         "a certificate cannot be read at a hang-up",
-        TLS + "test_broken_certificate_leaves_the_old_one",
+        TLS + "test_unreadable_certificate_keeps_the_old_one",
         Mutant(
             "trackwheel/tls.py",
             "            except LOAD_ERRORS as error:",
@@ -627,7 +637,7 @@
         FLEET,
         MEMBERSHIP,
         "an operator without a certificate, or without TLS",
-        TLS + "test_operators_show_a_certificate",
+        TLS + "test_operators_need_a_certificate",
         Mutant("trackwheel/tls.py", "            self.verify_mode = ssl.CERT_REQUIRED\n", ""),
     ),
     Row(
@@ -750,7 +760,7 @@
         PLATFORM,
         COVERAGE,
         "a shard without an answer, through real processes",
-        ENTRY + "test_silent_shard_is_named_as_missing_at_the_aim",
+        ENTRY + "test_slow_shard_is_reported_missing_at_the_target_latency",
     ),
     Row(
         PLATFORM,
@@ -767,7 +777,7 @@
         PLATFORM,
         COVERAGE,
         "a peer is frozen, through real processes",
-        ENTRY + "test_frozen_peer_is_gone_around",
+        ENTRY + "test_query_survives_a_frozen_peer",
     ),
     Row(
         PLATFORM,
@@ -784,7 +794,7 @@
         PLATFORM,
         AT_MOST_ONCE,
         "a target resets the connection, through real processes",
-        ENTRY + "test_request_that_may_run_once_runs_once",
+        ENTRY + "test_unsafe_request_is_not_retried_after_a_reset",
     ),
     Row(
         PLATFORM,
@@ -1064,7 +1074,7 @@
         PLATFORM,
         STOP,
         "a hang-up or a second signal comes after a planned stop began",
-        ENTRY + "test_planned_stop_finishes_what_is_under_way",
+        ENTRY + "test_planned_stop_finishes_requests_in_flight",
         Mutant(
             "trackwheel/entry/run.py",
             "            await _finish(box, clients)\n",
@@ -1087,7 +1097,7 @@
         PLATFORM,
         IN_FORCE,
         "a box restarts while the store is down",
-        ENTRY + "test_box_that_the_store_refuses_learns_from_peers",
+        ENTRY + "test_box_restarted_during_a_store_outage_learns_from_peers",
         Mutant(
             "trackwheel/directory/service.py",
             "if self.table is not None and ask.routes_version < self.version:",
@@ -1098,7 +1108,7 @@
         PLATFORM,
         IN_FORCE,
         "the store forgets its history between two changes",
-        ENTRY + "test_forgotten_history_loses_no_change",
+        ENTRY + "test_truncated_watch_history_loses_no_change",
     ),
     Row(
         PLATFORM,
@@ -1111,14 +1121,14 @@
         PLATFORM,
         STOP,
         "requests under way and on a kept connection at a planned stop",
-        ENTRY + "test_planned_stop_finishes_what_is_under_way",
+        ENTRY + "test_planned_stop_finishes_requests_in_flight",
         Mutant("trackwheel/entry/run.py", "while steady_now() < end:", "while False:"),
     ),
     Row(
         PLATFORM,
         GONE,
         "a client leaves, through real processes",
-        ENTRY + "test_client_that_leaves_cancels_the_work",
+        ENTRY + "test_client_disconnect_cancels_the_request",
         Mutant(
             "trackwheel/http1/server.py",
             "            current.notify_disconnect()",
@@ -1153,7 +1163,7 @@
         PLATFORM,
         IN_HOMES,
         "through real processes, a home without targets too",
-        ENTRY + "test_homes_are_kept_to_at_every_box",
+        ENTRY + "test_allowed_regions_are_respected_at_every_box",
         Mutant(
             "trackwheel/platform/decode.py",
             "homes=frozenset(route.allowed_regions or ())",
@@ -1197,7 +1207,7 @@
         PLATFORM,
         EVACUATION,
         "through real processes, taken back",
-        ENTRY + "test_evacuated_domain_gets_nothing_until_that_is_taken_back",
+        ENTRY + "test_evacuated_domain_gets_nothing_until_the_evacuation_ends",
         Mutant(
             "trackwheel/directory/targets.py",
             "entry.leaving or entry.failure_domain in evacuated",
@@ -1333,14 +1343,14 @@
         PLATFORM,
         HELD,
         "a query, a look-up, one that may run only once, sent again at each box",
-        CRASHING + "test_request_under_which_three_targets_ended_goes_to_no_more",
+        CRASHING + "test_request_that_crashed_three_targets_is_refused",
         Mutant("trackwheel/relay/service.py", "if retry_after_s <= 0.0:", "if True:"),
     ),
     Row(
         PLATFORM,
         HELD,
         "one query over all shards: how many targets it ends",
-        CRASHING + "test_query_that_ends_targets_leaves_each_shard_one",
+        CRASHING + "test_crashing_query_spares_the_second_replica_of_each_shard",
         Mutant(
             "trackwheel/relay/gather.py",
             "return self._closings.any and not len(self.parts)",
@@ -1351,7 +1361,7 @@
         PLATFORM,
         HELD,
         "one box or all boxes are lost",
-        CRASHING + "test_boxes_that_start_know_what_is_held",
+        CRASHING + "test_restarted_boxes_know_held_requests",
         Mutant(
             "trackwheel/quarantine/service.py",
             "self._tracker.handle_requests_held(RequestsHeld(rows), steady_now())",
@@ -1362,7 +1372,7 @@
         PLATFORM,
         HELD,
         "a box starts while the store is down",
-        CRASHING + "test_box_that_starts_while_the_store_is_down_is_told_by_its_peers",
+        CRASHING + "test_box_restarted_during_a_store_outage_learns_held_requests_from_peers",
         Mutant(
             "trackwheel/quarantine/service.py",
             "self._broadcast(self._tracker.held_requests(now))",
@@ -1373,13 +1383,13 @@
         PLATFORM,
         HELD,
         "two such requests at the same targets",
-        CRASHING + "test_two_requests_at_the_same_targets_are_both_found",
+        CRASHING + "test_two_crashing_requests_at_the_same_targets_are_both_held",
     ),
     Row(
         PLATFORM,
         HELD,
         "four others at every target that ended are served once targets are back",
-        CRASHING + "test_bystanders_are_served_once_targets_are_back",
+        CRASHING + "test_bystanders_are_served_once_targets_have_restarted",
         Mutant(
             "trackwheel/quarantine/crash_tracker.py",
             "if len(tied) == 1 or self._is_on_trial(one, now)",
@@ -1430,7 +1440,7 @@
         LOAD,
         HELD,
         "queries and requests that may run only once, at boxes of the product's own path",
-        "tests/whole/test_crashing_query.py::test_what_three_targets_ended_under_goes_to_no_more",
+        "tests/whole/test_crashing_query.py::test_request_that_crashed_three_targets_is_refused",
         Mutant("trackwheel/dispatch/guard.py", "case TargetClosedError():", "case MemoryError():"),
     ),
     Row(
@@ -1438,7 +1448,7 @@
         LEAVING,
         "targets leave while a box reads all of them page by page, at its peers",
         "tests/whole/test_leaving_target.py::"
-        "test_target_that_leaves_while_all_are_read_gets_nothing_after_its_time",
+        "test_target_that_leaves_during_a_full_read_gets_nothing_after_its_drain_time",
         Mutant("trackwheel/directory/targets.py", "if revision <= as_of}", "}"),
     ),
     Row(
@@ -1479,7 +1489,7 @@
         SET_BACK,
         "targets, evacuations, configurations and their changes, at boxes as processes",
         "tests/whole/test_store_goes_back.py::"
-        "test_what_was_known_holds_until_it_is_written_again_and_what_is_written_counts",
+        "test_lost_changes_hold_until_they_are_rewritten_and_new_writes_count",
         Mutant(
             "trackwheel/directory/revisions.py",
             "(era << _ERA_SHIFT) | store_revision",
