--- a/trackwheel/http1/models.py
+++ b/trackwheel/http1/models.py
@@ -1,4 +1,4 @@
-"""Requests, answers and the ends of exchanges with targets."""
+"""Requests, responses and the results of exchanges with targets."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 def header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a header by its lower-case name, None when it is not there."""
+    """Return the first value of a header by its lower-case name, or None."""
     for key, value in headers:
         if key == name:
             return value
@@ -15,31 +15,28 @@
 
 
 class Request(NamedTuple):
-    """Hold one whole request; header names are lower case; `arrived` is monotonic seconds.
-
-    `opening` says that it is the first one on its connection.
-    """
+    """A complete request; header names are lower case, `arrived` is in seconds of `steady_now`."""
 
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
     arrived: float
-    opening: bool = False
+    first_on_connection: bool = False
 
 
 class Response(NamedTuple):
-    """Hold one whole answer."""
+    """A complete response."""
 
     status: int
     headers: Headers
     body: bytes
 
 
-class EndKind(StrEnum):
-    """Say how an exchange with a target ended.
+class ExchangeOutcome(StrEnum):
+    """How an exchange with a target ended.
 
-    `CLOSED` says that the target ended the connection before a byte of an answer came.
+    `CLOSED`: the target closed the connection before the first byte of an answer.
     """
 
     ANSWERED = "answered"
@@ -48,9 +45,9 @@
     BROKEN = "broken"
 
 
-class ExchangeEnd(NamedTuple):
-    """Tell the end of one exchange; `answer` is there when a whole one came."""
+class ExchangeResult(NamedTuple):
+    """Result of one exchange; `answer` is set if it was received completely."""
 
-    kind: EndKind
+    outcome: ExchangeOutcome
     answer: Response | None
     detail: str
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Final, NamedTuple, Protocol
 
-from trackwheel.http1.models import EndKind, ExchangeEnd, Request, Response
+from trackwheel.http1.models import ExchangeOutcome, ExchangeResult, Request, Response
 from trackwheel.http1.pool import Job, TargetPool
 from trackwheel.relay.models import (
     CallerRequest,
@@ -28,9 +28,9 @@
 """Connections that a box may always open to a target."""
 
 _OUTCOME_BY_KIND: Final = {
-    EndKind.NOT_SENT: Outcome.NOT_SENT,
-    EndKind.CLOSED: Outcome.CLOSED,
-    EndKind.BROKEN: Outcome.BROKEN,
+    ExchangeOutcome.NOT_SENT: Outcome.NOT_SENT,
+    ExchangeOutcome.CLOSED: Outcome.CLOSED,
+    ExchangeOutcome.BROKEN: Outcome.BROKEN,
 }
 """Outcomes of requests that ended without an answer."""
 
@@ -119,7 +119,7 @@
         def check(answer: Response) -> str:
             return self._wire.check_answer(request.request_id, answer)
 
-        def ended(end: ExchangeEnd) -> None:
+        def ended(end: ExchangeResult) -> None:
             result = self._to_target_end(end, attempt.single)
             self.ended_by_outcome[(result.outcome.value,)] += 1
             availability = self._selector.ended(
@@ -182,10 +182,10 @@
                 after=end.outcome.value,
             )
 
-    def _to_target_end(self, end: ExchangeEnd, single: bool) -> TargetResult:
+    def _to_target_end(self, end: ExchangeResult, single: bool) -> TargetResult:
         if end.answer is not None:
             return self._wire.read_result(end.answer, single)
-        return TargetResult(_OUTCOME_BY_KIND[end.kind], None, b"", None, end.detail)
+        return TargetResult(_OUTCOME_BY_KIND[end.outcome], None, b"", None, end.detail)
 
     def _pool(self, target: Target) -> TargetPool:
         pool = self._pool_by_life.get(target.incarnation)
