--- a/tests/entry/test_run.py
+++ b/tests/entry/test_run.py
@@ -60,7 +60,7 @@
     least_s: float,
     most_s: float,
 ) -> None:
-    monkeypatch.setattr(run, "LEAST_LINGER_S", 0.0)
+    monkeypatch.setattr(run, "MIN_CLIENT_DRAIN_S", 0.0)
     clients = FakeClients()
     if there is not None:
         clients.connections.add(there)
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -13,7 +13,7 @@
 from trackwheel.directory.targets import TargetDirectory
 from trackwheel.directory.watcher_election import WatcherElection
 from trackwheel.entry.const import (
-    FIRST_LIMITS,
+    DEFAULT_LIMITS,
     PATH_METRICS,
     TIMING,
     WATCHERS_PER_DOMAIN,
@@ -244,7 +244,7 @@
 
     def _limits(self) -> Limits:
         table = self.directory.table
-        return FIRST_LIMITS if table is None else table.limits
+        return DEFAULT_LIMITS if table is None else table.limits
 
     def _answer_metrics(self, request: Request, exchange: Exchange) -> None:
         if request.target != PATH_METRICS:
--- a/trackwheel/entry/const.py
+++ b/trackwheel/entry/const.py
@@ -1,4 +1,4 @@
-"""Numbers of a box on the platform."""
+"""Constants of a box on the platform."""
 
 from typing import Final
 
@@ -6,24 +6,26 @@
 from trackwheel.routing.models import Limits
 
 TIMING: Final = Timing(2.0, 0.5, 1.5, gossip_sends=1)
-"""Probe period, wait for its answer, suspicion (seconds) and tellings of rumours of the membership.
+"""Probe period, probe time-out and suspicion time-out (seconds), and sends per gossip update.
 
-Requests go around a peer that shows no life after 40 ms, whatever the membership says, so that
-probes may be rare: at 0.5 s they were more than half of the bytes between 60 boxes. Links lose
-nothing, and digests find what a rumour missed, so that each is told once for a doubling."""
+Probes may be infrequent because requests avoid a peer that has been silent for 40 ms, whatever its
+membership state; with a period of 0.5 s they were more than half of the bytes between 60 boxes.
+One send of an update per doubling of the fleet is enough, because the links lose no messages and
+digests repair missed updates."""
 WATCHERS_PER_DOMAIN: Final = 1
-"""Boxes of one failure domain that read the store while all is well."""
-FIRST_LIMITS: Final = Limits(16_384, 262_144, 3.0, 15.0)
-"""What clients may send before a configuration is known."""
+"""Boxes per failure domain that read the store while there is no fault."""
+DEFAULT_LIMITS: Final = Limits(16_384, 262_144, 3.0, 15.0)
+"""Limits on client requests until a configuration is known."""
 METRICS_VARIABLE: Final = "TRACKWHEEL_METRICS_PORT"
-"""Environment variable with the port of the figures; without it none are served."""
+"""Environment variable with the port of the metrics; if it is unset, no metrics are served."""
 PATH_METRICS: Final = b"/metrics"
 BACKLOG: Final = 1024
-LEAST_LINGER_S: Final = 3.2
-"""A stopping box serves on at least so long: clients are sent to it until two checks missed."""
+MIN_CLIENT_DRAIN_S: Final = 3.2
+"""Minimum time that a stopping box accepts clients, who are sent to it until two readiness checks
+have failed."""
 STOP_MARGIN_S: Final = 0.15
-"""Time kept between the last answer of a stopping box and the platform's kill."""
+"""Time between the last response of a stopping box and the platform's kill."""
 CLOSE_WAIT_S: Final = 0.05
-STOP_LOOK_S: Final = 0.05
+STOP_POLL_PERIOD_S: Final = 0.05
 SUMMARY_PERIOD_S: Final = 10.0
-"""How often a box writes its counts."""
+"""Interval between the summary lines of the log."""
--- a/trackwheel/entry/run.py
+++ b/trackwheel/entry/run.py
@@ -13,10 +13,10 @@
 from trackwheel.entry.const import (
     BACKLOG,
     CLOSE_WAIT_S,
-    LEAST_LINGER_S,
     METRICS_VARIABLE,
-    STOP_LOOK_S,
+    MIN_CLIENT_DRAIN_S,
     STOP_MARGIN_S,
+    STOP_POLL_PERIOD_S,
     SUMMARY_PERIOD_S,
 )
 from trackwheel.entry.signals import SIGNALS, take_signals
@@ -104,8 +104,8 @@
     end = began + box.settings.grace_s - STOP_MARGIN_S
     box.stop()
     while steady_now() < end:
-        await anyio.sleep(STOP_LOOK_S)
-        if steady_now() - began <= LEAST_LINGER_S:
+        await anyio.sleep(STOP_POLL_PERIOD_S)
+        if steady_now() - began <= MIN_CLIENT_DRAIN_S:
             continue
         # A request that came on a kept connection from now on could outlast the grace.
         box.clients.close_idle()
