--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -1,4 +1,4 @@
-"""The composition root of a box on the platform: it wires the parts."""
+"""Composition root of a box on the platform: creates its components and connects them."""
 
 import os
 import time
@@ -62,14 +62,14 @@
 
 
 class _NoTls:
-    """Links between boxes without TLS: the platform's network carries no certificates."""
+    """Disables TLS between boxes: the platform's network provides no certificates."""
 
     server = None
     client = None
 
 
 class EntryBox:
-    """Hold the parts of one box."""
+    """The components of one box."""
 
     def __init__(self, settings: BoxSettings) -> None:
         self.settings = settings
@@ -140,8 +140,8 @@
             self._limits,
             lambda status: self.log.write("refused_unread", status=status),
         )
-        self.readiness = ServerState(self._answer_readiness, self._limits)
-        self.metrics = ServerState(self._answer_metrics, self._limits)
+        self.readiness = ServerState(self._serve_readiness, self._limits)
+        self.metrics = ServerState(self._serve_metrics, self._limits)
         self.stopping = False
         self._wire_parts()
         add_figures(
@@ -162,44 +162,44 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether clients should be sent here."""
+        """Return whether clients should be sent to this box."""
         return self.directory.ready and not self.stopping
 
     @property
     def busy(self) -> bool:
-        """Return whether anything is under way here."""
+        """Return whether client requests, or groups gathered for peers, are in flight."""
         return bool(self.clients.busy or self.inbound_groups)
 
     def stop(self) -> None:
-        """Begin to stop: take no new clients, go on with those who are here."""
+        """Fail readiness checks, keep no client connection after its response, leave the fleet."""
         self.stopping = True
         self.clients.stopping = True
         self.fleet.leave()
 
     def _wire_parts(self) -> None:
-        self.fleet.on_members(self._take_members)
+        self.fleet.on_members(self._apply_members)
         self.fleet.on_revision(self.directory.peer_version)
-        self.directory.on_routes(self._take_routes)
-        self.directory.on_targets(self._take_targets)
+        self.directory.on_routes(self._apply_routes)
+        self.directory.on_targets(self._apply_targets)
 
-    def _take_members(self, members: tuple[Member, ...]) -> None:
+    def _apply_members(self, members: tuple[Member, ...]) -> None:
         own = self.fleet.own
         domain_peers, remote_watchers = self.fleet.domain_peers(), self.fleet.remote_watchers()
-        before = self.fleet.watcher_predecessors(own)
-        self.directory.set_peers(before, domain_peers, remote_watchers)
-        self.quarantine.set_boxes(domain_peers, remote_watchers, rebroadcasts=not before)
+        predecessors = self.fleet.watcher_predecessors(own)
+        self.directory.set_peers(predecessors, domain_peers, remote_watchers)
+        self.quarantine.set_boxes(domain_peers, remote_watchers, rebroadcasts=not predecessors)
         boxes = [
             PeerBox(m.address, Place(m.region, m.failure_domain), m.speed)
             for m in members
             if m.status is Status.ALIVE
         ]
         gatherers = choose_gatherers(boxes)
-        others = [box for box in boxes if box.address != own.address]
+        other_boxes = [box for box in boxes if box.address != own.address]
         gathers = own.address in gatherers
-        self.relay.set_peers(tuple(box for box in others if box.address in gatherers), gathers)
+        self.relay.set_peers(tuple(box for box in other_boxes if box.address in gatherers), gathers)
         self.down_reports.set_boxes(
             box.address
-            for box in others
+            for box in other_boxes
             if box.address in gatherers and box.place.failure_domain == own.failure_domain
         )
         now = steady_now()
@@ -208,13 +208,13 @@
         self.budget.set_gatherers(Counter(domains), own.failure_domain, gathers, now)
         self._set_connection_limits()
 
-    def _take_routes(self, table: RouteTable) -> None:
+    def _apply_routes(self, table: RouteTable) -> None:
         self.fleet.set_files_revision(table.version)
         self.relay.set_table(table)
         self._set_connection_limits()
         self._set_shards()
 
-    def _take_targets(self, targets_by_service: dict[str, tuple[Target, ...]]) -> None:
+    def _apply_targets(self, targets_by_service: dict[str, tuple[Target, ...]]) -> None:
         self.selector.set_targets(targets_by_service, steady_now())
         targets = tuple(chain.from_iterable(targets_by_service.values()))
         self.transport.close_unknown({target.incarnation for target in targets})
@@ -222,7 +222,7 @@
         self._set_shards()
 
     def _set_shards(self) -> None:
-        """Tell the limits which services are shards, and where their targets are."""
+        """Set the shards, the failure domains of their targets, and the limits of cold targets."""
         table = self.directory.table
         if table is None:
             return
@@ -246,7 +246,7 @@
         table = self.directory.table
         return DEFAULT_LIMITS if table is None else table.limits
 
-    def _answer_metrics(self, request: Request, exchange: Exchange) -> None:
+    def _serve_metrics(self, request: Request, exchange: Exchange) -> None:
         if request.target != PATH_METRICS:
             exchange.respond(Response(404, (), b""))
             return
@@ -254,7 +254,7 @@
         encoded = tuple((name.lower().encode(), value.encode()) for name, value in headers.items())
         exchange.respond(Response(200, encoded, body))
 
-    def _answer_readiness(self, request: Request, exchange: Exchange) -> None:
+    def _serve_readiness(self, request: Request, exchange: Exchange) -> None:
         if request.target != PATH_READY.encode():
             exchange.respond(Response(404, (), b""))
             return
@@ -262,7 +262,8 @@
 
 
 def _own_member(identity: PeerIdentity, speed: float) -> Member:
-    # Wall-clock milliseconds put a new boot before the last one of the same address.
+    # The wall-clock time in milliseconds lets a new boot take precedence over the previous one of
+    # the same address.
     return Member(
         identity.address,
         identity.box_id,
