--- a/tests/entry/test_run.py
+++ b/tests/entry/test_run.py
@@ -1,4 +1,4 @@
-"""The stop of a box: nobody who came in is left without an answer."""
+"""Tests of stopping a box: every client that was accepted is served within the grace period."""
 
 import asyncio
 import time
@@ -11,7 +11,7 @@
 
 
 class FakeClients:
-    """Hold connections; each is idle or busy."""
+    """A server state whose connections are idle or busy."""
 
     def __init__(self) -> None:
         self.connections: set[str] = set()
@@ -21,11 +21,11 @@
 
 
 class FakeServer:
-    """A listening socket on which a client comes in at the moment it is closed."""
+    """A server that may accept a last connection while its listening socket is being closed."""
 
-    def __init__(self, clients: FakeClients, late: str | None) -> None:
+    def __init__(self, clients: FakeClients, late_connection: str | None) -> None:
         self._clients = clients
-        self._late = late
+        self._late_connection = late_connection
         self._serving = True
 
     def is_serving(self) -> bool:
@@ -33,8 +33,8 @@
 
     def close(self) -> None:
         self._serving = False
-        if self._late is not None:
-            self._clients.connections.add(self._late)
+        if self._late_connection is not None:
+            self._clients.connections.add(self._late_connection)
 
 
 def make_box(clients: FakeClients, grace_s: float) -> Any:
@@ -44,32 +44,32 @@
 
 
 @pytest.mark.parametrize(
-    ("there", "late", "least_s", "most_s"),
+    ("open_connection", "late_connection", "min_s", "max_s"),
     [
-        pytest.param(None, None, 0.0, 0.5, id="nobody-there"),
+        pytest.param(None, None, 0.0, 0.5, id="no-connection"),
         pytest.param("idle", None, 0.0, 0.5, id="idle-connection"),
-        pytest.param(None, "busy", 0.3, 0.8, id="client-came-in-as-the-door-closed"),
-        pytest.param("busy", None, 0.3, 0.8, id="request-under-way"),
-        pytest.param("for-ever", None, 0.8, 1.4, id="not-past-the-grace"),
+        pytest.param(None, "busy", 0.3, 0.8, id="connection-accepted-while-closing"),
+        pytest.param("busy", None, 0.3, 0.8, id="request-in-flight"),
+        pytest.param("for-ever", None, 0.8, 1.4, id="grace-period-ends"),
     ],
 )
 def test_stop(
     monkeypatch: pytest.MonkeyPatch,
-    there: str | None,
-    late: str | None,
-    least_s: float,
-    most_s: float,
+    open_connection: str | None,
+    late_connection: str | None,
+    min_s: float,
+    max_s: float,
 ) -> None:
     monkeypatch.setattr(run, "MIN_CLIENT_DRAIN_S", 0.0)
     clients = FakeClients()
-    if there is not None:
-        clients.connections.add(there)
+    if open_connection is not None:
+        clients.connections.add(open_connection)
 
     async def scenario() -> None:
         asyncio.get_running_loop().call_later(0.35, clients.connections.discard, "busy")
-        server: Any = FakeServer(clients, late)
-        await run._finish(make_box(clients, 1.0), server)
+        server: Any = FakeServer(clients, late_connection)
+        await run._drain(make_box(clients, 1.0), server)
 
-    began = time.monotonic()
+    started_at = time.monotonic()
     asyncio.run(scenario())
-    assert least_s <= time.monotonic() - began <= most_s
+    assert min_s <= time.monotonic() - started_at <= max_s
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1067,8 +1067,8 @@
         ENTRY + "test_planned_stop_finishes_what_is_under_way",
         Mutant(
             "trackwheel/entry/run.py",
-            "            await _finish(box, clients)\n",
-            "        await _finish(box, clients)\n",
+            "            await _drain(box, client_server)\n",
+            "        await _drain(box, client_server)\n",
         ),
     ),
     Row(
--- a/trackwheel/entry/run.py
+++ b/trackwheel/entry/run.py
@@ -1,4 +1,4 @@
-"""The life of a box on the platform: start, summaries, reload, stop."""
+"""Starts, runs and stops a box on the platform."""
 
 import asyncio
 import os
@@ -27,7 +27,7 @@
 
 
 async def run_entry_box(path: Path) -> None:
-    """Run a box until it is told to stop and has finished what it began."""
+    """Run a box until a stop signal arrives, then drain it."""
     box = EntryBox(read_settings(path))
     async with anyio.create_task_group() as tasks:
         await tasks.start(box.hub.run)
@@ -35,21 +35,21 @@
         tasks.start_soon(box.directory.run)
         tasks.start_soon(box.quarantine.run)
         tasks.start_soon(_write_summaries, box)
-        clients = await _listen(box.clients, box.settings.clients)
+        client_server = await _listen(box.clients, box.settings.clients)
         await _listen(box.readiness, box.settings.readiness)
         await _listen_for_metrics(box)
         box.log.write("started", boot=box.hub.identity.boot, domain=box.settings.place[1])
-        # The signals stay taken until the end: by default a hang-up would end the process.
+        # The handlers stay installed until the end: by default SIGHUP would terminate the process.
         with anyio.open_signal_receiver(*SIGNALS) as signals:
             take_signals()
-            await _until_stopped(box, path, signals)
-            await _finish(box, clients)
+            await _wait_for_stop_signal(box, path, signals)
+            await _drain(box, client_server)
         tasks.cancel_scope.cancel()
     box.log.write("stopped")
 
 
 async def _write_summaries(box: EntryBox) -> None:
-    """Write what the box has done so far, now and then."""
+    """Log the counters of the box periodically."""
     while True:
         await anyio.sleep(SUMMARY_PERIOD_S)
         box.log.write(
@@ -62,8 +62,8 @@
             peer_bytes=box.hub.bytes_sent,
             peer_messages=box.hub.messages_sent,
             **{
-                f"sent_{reason}_{distance}".replace(" ", "_"): number
-                for (reason, distance), number in box.transport.sent_by_reason.items()
+                f"sent_{reason}_{distance}".replace(" ", "_"): count
+                for (reason, distance), count in box.transport.sent_by_reason.items()
             },
         )
 
@@ -75,7 +75,7 @@
 
 
 async def _listen_for_metrics(box: EntryBox) -> None:
-    """Serve figures; a port that is taken costs the figures, not the box."""
+    """Serve metrics if a port is set; if it is in use or invalid, the box runs without metrics."""
     port = os.environ.get(METRICS_VARIABLE)
     if port is None:
         return
@@ -85,8 +85,10 @@
         box.log.write("no_metrics", port=port, reason=str(error))
 
 
-async def _until_stopped(box: EntryBox, path: Path, signals: AsyncIterator[signal.Signals]) -> None:
-    """Return at the first signal to stop; a hang-up is noted and changes nothing."""
+async def _wait_for_stop_signal(
+    box: EntryBox, path: Path, signals: AsyncIterator[signal.Signals]
+) -> None:
+    """Return at the first stop signal; SIGHUP is logged and has no other effect."""
     async for received in signals:
         if received != signal.SIGHUP:
             box.log.write("stopping", signal=received.name)
@@ -94,31 +96,31 @@
         box.log.write("reload", path=str(path))
 
 
-async def _finish(box: EntryBox, clients: asyncio.Server) -> None:
-    """Serve those who are here until they are gone or the time is up.
+async def _drain(box: EntryBox, client_server: asyncio.Server) -> None:
+    """Serve clients until all have disconnected or the grace period ends.
 
-    New clients are let in until nobody is here; then the door is closed, and whoever came in just
-    before is served as well.
+    New connections are accepted until none is open and nothing is in flight; then the listening
+    socket is closed, and connections accepted just before are served as well.
     """
-    began = steady_now()
-    end = began + box.settings.grace_s - STOP_MARGIN_S
+    started_at = steady_now()
+    end = started_at + box.settings.grace_s - STOP_MARGIN_S
     box.stop()
     while steady_now() < end:
         await anyio.sleep(STOP_POLL_PERIOD_S)
-        if steady_now() - began <= MIN_CLIENT_DRAIN_S:
+        if steady_now() - started_at <= MIN_CLIENT_DRAIN_S:
             continue
-        # A request that came on a kept connection from now on could outlast the grace.
+        # A later request on an idle keep-alive connection could exceed the grace period.
         box.clients.close_idle()
         if box.clients.connections or box.busy:
             continue
-        if not clients.is_serving():
+        if not client_server.is_serving():
             break
-        clients.close()
+        client_server.close()
     box.clients.close_idle()
     await anyio.sleep(CLOSE_WAIT_S)
 
 
 def run_entry(path: Path) -> None:
-    """Run a box on the platform in this process."""
+    """Run a box on the platform in the current process."""
     tune_garbage_collection()
     anyio.run(run_entry_box, path, backend_options={"use_uvloop": True})
