--- a/tests/entry/test_signals.py
+++ b/tests/entry/test_signals.py
@@ -1,26 +1,26 @@
-"""Signals that come while a box is loaded."""
+"""Tests of signals that arrive while a box is starting."""
 
 import subprocess
 import sys
 
 import pytest
 
-# A process of its own: threads that other tests have left would take the signals instead.
-LOADING = """
+# Runs in a separate process: threads left by other tests would receive the signals instead.
+SCRIPT = """
 import os, signal, sys
-from trackwheel.entry.signals import keep_signals, take_signals
-number = signal.Signals[sys.argv[1]]
-signal.signal(number, lambda *_: print("taken", flush=True))
-keep_signals()
-os.kill(os.getpid(), number)
+from trackwheel.entry.signals import block_signals, unblock_signals
+signal_number = signal.Signals[sys.argv[1]]
+signal.signal(signal_number, lambda *_: print("taken", flush=True))
+block_signals()
+os.kill(os.getpid(), signal_number)
 print("loaded", flush=True)
-take_signals()
+unblock_signals()
 """
 
 
 @pytest.mark.parametrize("name", ["SIGHUP", "SIGTERM", "SIGINT"])
-def test_signals_wait_until_they_are_taken(name: str) -> None:
+def test_signals_are_pending_until_unblocked(name: str) -> None:
     run = subprocess.run(
-        [sys.executable, "-c", LOADING, name], capture_output=True, text=True, check=True
+        [sys.executable, "-c", SCRIPT, name], capture_output=True, text=True, check=True
     )
     assert run.stdout.split() == ["loaded", "taken"]
--- a/trackwheel/entry/__init__.py
+++ b/trackwheel/entry/__init__.py
@@ -1,1 +1,1 @@
-"""A box on the users' platform: its composition root, its life from start to stop."""
+"""A box on the users' platform: composition root, start and stop."""
--- a/trackwheel/entry/__main__.py
+++ b/trackwheel/entry/__main__.py
@@ -1,12 +1,12 @@
-"""Run a box as `python -m trackwheel.entry`, with the settings file that the platform names."""
+"""Run a box as `python -m trackwheel.entry`, with the settings file that the platform specifies."""
 
 import os
 from pathlib import Path
 
-from trackwheel.entry.signals import keep_signals
+from trackwheel.entry.signals import block_signals
 
 if __name__ == "__main__":
-    keep_signals()
+    block_signals()
 
     from trackwheel.entry.run import run_entry
     from trackwheel.platform.settings import SETTINGS_VARIABLE
--- a/trackwheel/entry/figures.py
+++ b/trackwheel/entry/figures.py
@@ -1,4 +1,4 @@
-"""Which figures a box on the platform serves."""
+"""The metrics that a box on the platform exports."""
 
 from typing import NamedTuple
 
@@ -16,7 +16,7 @@
 
 
 class CountedParts(NamedTuple):
-    """The parts of a box whose counts are served."""
+    """The components of a box whose counters are exported."""
 
     relay: RelayService
     transport: TargetTransport
@@ -31,53 +31,53 @@
 
 
 def add_figures(figures: Figures, box: CountedParts) -> None:
-    """Serve what the parts of a box count, and some of its values."""
+    """Register the counters and gauges of a box."""
     directory = box.directory
     figures.add_counts(
         "requests_total",
-        "Requests by how they ended",
+        "Requests by outcome",
         ("kind",),
         lambda: box.relay.ended_by_kind,
     )
     figures.add_counts(
         "target_sends_total",
-        "Requests sent to targets, by why and how far",
+        "Requests sent to targets, by reason and distance",
         ("reason", "distance"),
         lambda: box.transport.sent_by_reason,
     )
     figures.add_counts(
         "target_ends_total",
-        "Requests at targets by how they ended",
+        "Requests to targets, by outcome",
         ("outcome",),
         lambda: box.transport.ended_by_outcome,
     )
     for name, text, reading in (
-        ("routes_version", "Version in force", lambda: float(directory.version)),
-        ("store_in_step", "1 if the store answered lately", lambda: float(directory.synced)),
+        ("routes_version", "Version of the active configuration", lambda: float(directory.version)),
+        ("store_in_step", "1 if the store answered recently", lambda: float(directory.synced)),
         (
             "store_calls",
-            "Calls on the store",
+            "Calls to the store",
             lambda: float(directory.store_calls + box.quarantine.store_calls),
         ),
-        ("members", "Boxes that are known", lambda: float(len(box.fleet.members))),
-        ("repeats_denied", "Repeats without budget", lambda: float(box.budget.denied)),
+        ("members", "Known boxes", lambda: float(len(box.fleet.members))),
+        ("repeats_denied", "Repeats denied by the retry budget", lambda: float(box.budget.denied)),
         (
             "loads_unreadable",
-            "Answers whose told load could not be read",
+            "Answers with an unreadable load report",
             lambda: float(box.loads.unreadable),
         ),
         (
             "domains_evacuated",
-            "Failure domains whose targets get nothing more",
+            "Failure domains whose targets get no more requests",
             lambda: float(len(directory.evacuated)),
         ),
         (
             "requests_held",
-            "Requests that are kept from targets since targets end under them",
+            "Requests held because targets crashed while executing them",
             lambda: float(box.quarantine.held_count),
         ),
-        ("peer_bytes", "Bytes sent to boxes", lambda: float(box.hub.bytes_sent)),
-        ("under_way", "Requests under way", lambda: float(box.clients.busy)),
-        ("lines_dropped", "Log lines dropped", lambda: float(box.log.dropped)),
+        ("peer_bytes", "Bytes sent to other boxes", lambda: float(box.hub.bytes_sent)),
+        ("under_way", "Requests in flight", lambda: float(box.clients.busy)),
+        ("lines_dropped", "Dropped log lines", lambda: float(box.log.dropped)),
     ):
         figures.add_reading(name, text, reading)
--- a/trackwheel/entry/run.py
+++ b/trackwheel/entry/run.py
@@ -19,7 +19,7 @@
     STOP_POLL_PERIOD_S,
     SUMMARY_PERIOD_S,
 )
-from trackwheel.entry.signals import SIGNALS, take_signals
+from trackwheel.entry.signals import SIGNALS, unblock_signals
 from trackwheel.garbage import tune_garbage_collection
 from trackwheel.http1.server import ServerConnection, ServerState
 from trackwheel.platform.settings import read_settings
@@ -41,7 +41,7 @@
         box.log.write("started", boot=box.hub.identity.boot, domain=box.settings.place[1])
         # The handlers stay installed until the end: by default SIGHUP would terminate the process.
         with anyio.open_signal_receiver(*SIGNALS) as signals:
-            take_signals()
+            unblock_signals()
             await _wait_for_stop_signal(box, path, signals)
             await _drain(box, client_server)
         tasks.cancel_scope.cancel()
--- a/trackwheel/entry/signals.py
+++ b/trackwheel/entry/signals.py
@@ -1,17 +1,17 @@
-"""The signals that a box takes, kept until it can take them."""
+"""The signals that a box handles, blocked until their handlers are installed."""
 
 import signal
 from typing import Final
 
 SIGNALS: Final = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-"""By default each of these ends a process with requests under way."""
+"""Signals whose default action terminates the process, with requests in flight."""
 
 
-def keep_signals() -> None:
-    """Let signals wait while the program is loaded, which takes some 0.3 s of processor time."""
+def block_signals() -> None:
+    """Block signals while modules are imported, which takes about 0.3 s of CPU time."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
-def take_signals() -> None:
-    """Let signals come, those that have waited at once."""
+def unblock_signals() -> None:
+    """Unblock signals; pending ones are delivered at once."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
