--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1077,8 +1077,8 @@
         ENTRY + "test_planned_stop_finishes_requests_in_flight",
         Mutant(
             "trackwheel/entry/run.py",
-            "            await _finish(box, clients)\n",
-            "        await _finish(box, clients)\n",
+            "            await _drain(box, client_server)\n",
+            "        await _drain(box, client_server)\n",
         ),
     ),
     Row(
