--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1340,8 +1340,8 @@
         CRASHING + "test_query_that_ends_targets_leaves_each_shard_one",
         Mutant(
             "trackwheel/relay/gather.py",
-            "return self._closings.any and not len(self.parts)",
-            "return False and not len(self.parts)",
+            "self._closed_connections.has_any and not len(self.parts)",
+            "False and not len(self.parts)",
         ),
     ),
     Row(
@@ -1421,7 +1421,7 @@
         HELD,
         "second targets of a query under which the first ones ended",
         CRASHING_QUERY + "test_second_targets_are_spared_while_nothing_has_answered",
-        Mutant("trackwheel/relay/gather.py", "self._closings.own += 1", "pass"),
+        Mutant("trackwheel/relay/gather.py", "self._closed_connections.own_count += 1", "pass"),
     ),
     Row(
         LOAD,
--- a/trackwheel/relay/closings.py
+++ b/trackwheel/relay/closings.py
@@ -1,19 +1,19 @@
-"""How many targets ended the connection under one query."""
+"""Number of connections that targets closed without an answer during one query."""
 
 
-class Closings:
-    """Count ends at this box, and what each peer told of its group."""
+class ClosedConnections:
+    """Counts the connections closed on this box and those that peers reported per group."""
 
     def __init__(self) -> None:
-        self.own = 0
-        self.by_group: dict[int, int] = {}
+        self.own_count = 0
+        self.count_by_group: dict[int, int] = {}
 
     @property
     def total(self) -> int:
-        """Return how many there were, here and at peers."""
-        return self.own + sum(self.by_group.values())
+        """Return the count of this box and its peers."""
+        return self.own_count + sum(self.count_by_group.values())
 
     @property
-    def any(self) -> bool:
-        """Return whether there was one."""
+    def has_any(self) -> bool:
+        """Return whether any connection was closed."""
         return self.total > 0
--- a/trackwheel/relay/gather.py
+++ b/trackwheel/relay/gather.py
@@ -18,7 +18,7 @@
 from typing import Final
 
 from trackwheel.relay.budget import RetryBudget
-from trackwheel.relay.closings import Closings
+from trackwheel.relay.closings import ClosedConnections
 from trackwheel.relay.const import DECLINE_RESPONSE_TIMES, MAX_LOGGED_SHARDS
 from trackwheel.relay.delegated import DelegatedGroups
 from trackwheel.relay.gather_models import (
@@ -61,7 +61,7 @@
         )
         self._requester = ShardRequester(plan, selector, budget, self._shards, self._groups)
         self._peers_ran = False
-        self._closings = Closings()
+        self._closed_connections = ClosedConnections()
         self._commands: list[GatherCommand] = []
         self.ended = False
 
@@ -137,7 +137,7 @@
         shard.last_failure = f"{result.outcome.value} at {instance}"
         shard.attempts.mark_failed(token, result.outcome, now)
         if result.outcome is Outcome.CLOSED:
-            self._closings.own += 1
+            self._closed_connections.own_count += 1
         if self._suspects_own_query():
             self._requester.hold_back(name, now)
         else:
@@ -169,7 +169,7 @@
         if self.ended or group is None:
             return []
         group.report()
-        self._closings.by_group[number] = closed
+        self._closed_connections.count_by_group[number] = closed
         self._peers_ran |= ran
         for name in self.parts.add_merged(group.plan.shards, signature_by_shard, records):
             self._mark_received(name)
@@ -300,12 +300,14 @@
         incident one query took down 40 targets instead of 20. If the targets failed for another
         reason, the wait costs half of the usual response time.
         """
-        return self._closings.any and not len(self.parts) and self._shards.awaits_answer
+        return (
+            self._closed_connections.has_any and not len(self.parts) and self._shards.awaits_answer
+        )
 
     @property
     def closed(self) -> int:
         """Return how many targets closed the connection during the query, here or at peers."""
-        return self._closings.total
+        return self._closed_connections.total
 
     def _retry(self, now: float) -> None:
         """Request the shards whose retry is due."""
