--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -1390,7 +1390,7 @@
         CRASH_TRACKER + "test_held",
         Mutant(
             "trackwheel/quarantine/crash_tracker.py",
-            "            evidence.remove_attributed(lives)\n",
+            "            evidence.remove_attributed(incarnations)\n",
             "",
         ),
     ),
--- a/tests/quarantine/test_crash_tracker.py
+++ b/tests/quarantine/test_crash_tracker.py
@@ -12,7 +12,7 @@
     MAX_ANSWERED_REQUESTS,
     MAX_DECISION_DELAY_S,
     MAX_HELD_REQUESTS,
-    MAX_LIVES_PER_ROW,
+    MAX_INCARNATIONS_PER_ROW,
     MAX_ROWS_PER_REPORT,
     MAX_SUSPECTS,
     MAX_WITHDRAWN_TARGETS,
@@ -40,7 +40,7 @@
 Step = Callable[[CrashTracker], None]
 
 
-def life(number: int) -> Incarnation:
+def incarnation(number: int) -> Incarnation:
     return f"t{number}", 0
 
 
@@ -49,14 +49,14 @@
 
     def step(tracker: CrashTracker) -> None:
         for number in numbers:
-            tracker.connection_closed(request, life(number), at)
+            tracker.connection_closed(request, incarnation(number), at)
 
     return step
 
 
 def crashes_reported(request: bytes, *numbers: int, at: float = 1.0) -> Step:
     """Another box reports crashes under a request."""
-    report = CrashReport([RequestCrashes(request, [life(number) for number in numbers])])
+    report = CrashReport([RequestCrashes(request, [incarnation(number) for number in numbers])])
     return lambda tracker: tracker.handle_crash_report(report, at)
 
 
@@ -78,7 +78,7 @@
 
     def step(tracker: CrashTracker) -> None:
         for number in numbers:
-            tracker.request_withdrawn(request, life(number), at)
+            tracker.request_withdrawn(request, incarnation(number), at)
 
     return step
 
@@ -88,7 +88,7 @@
 
     def step(tracker: CrashTracker) -> None:
         for number in numbers:
-            tracker.connection_refused(life(number), at)
+            tracker.connection_refused(incarnation(number), at)
 
     return step
 
@@ -434,7 +434,7 @@
     [
         pytest.param(
             [connection_closed(CRASHING, 1)],
-            [CrashReport([RequestCrashes(CRASHING, [life(1)])])],
+            [CrashReport([RequestCrashes(CRASHING, [incarnation(1)])])],
             id="one-crash",
         ),
         pytest.param(
@@ -474,7 +474,7 @@
     connection_closed(CRASHING, 4, at=DECIDED_AT)(tracker)
     assert tracker.next_due_at() == DECIDED_AT
     assert messages(tracker.tick(DECIDED_AT)) == [
-        CrashReport([RequestCrashes(CRASHING, [life(4)])])
+        CrashReport([RequestCrashes(CRASHING, [incarnation(4)])])
     ]
 
 
@@ -500,26 +500,26 @@
     connection_closed(CRASHING, 1, 2, 3)(tracker)
     connection_closed(OTHER, 1, 2, 3)(tracker)
     tracker.tick(DECIDED_AT)
-    assert tracker._cause_by_life
+    assert tracker._cause_by_incarnation
     tracker.evict_expired(DECIDED_AT + EVIDENCE_RETENTION_S)
-    assert not tracker._cause_by_life
+    assert not tracker._cause_by_incarnation
 
 
 def test_memory_and_messages_are_bounded() -> None:
     tracker = CrashTracker()
     for number in range(MAX_SUSPECTS + 100):
-        tracker.connection_closed(b"%d" % number, life(number), 1.0)
-    connection_closed(CRASHING, *range(9_000, 9_000 + 2 * MAX_LIVES_PER_ROW))(tracker)
+        tracker.connection_closed(b"%d" % number, incarnation(number), 1.0)
+    connection_closed(CRASHING, *range(9_000, 9_000 + 2 * MAX_INCARNATIONS_PER_ROW))(tracker)
     (report,) = messages(tracker.tick(1.0 + REPORT_DELAY_S))
     assert isinstance(report, CrashReport)
     assert len(report.rows) == MAX_ROWS_PER_REPORT
     assert report.rows[0].fingerprint == CRASHING
-    assert len(report.rows[0].lives) == MAX_LIVES_PER_ROW
+    assert len(report.rows[0].incarnations) == MAX_INCARNATIONS_PER_ROW
     for number in range(MAX_HELD_REQUESTS + 100):
         hold_announced(b"%d" % number)(tracker)
     assert tracker.held_count == MAX_HELD_REQUESTS
     for number in range(MAX_WITHDRAWN_TARGETS + 100):
-        tracker.request_withdrawn(CRASHING, life(number), 2.0)
+        tracker.request_withdrawn(CRASHING, incarnation(number), 2.0)
     assert len(tracker._withdrawn) == MAX_WITHDRAWN_TARGETS
     for number in range(MAX_ANSWERED_REQUESTS + 100):
         tracker.request_answered(b"a%d" % number, 2.0)
--- a/trackwheel/quarantine/const.py
+++ b/trackwheel/quarantine/const.py
@@ -49,7 +49,7 @@
 """Requests that are held at the same time, 40 bytes each in a message."""
 MAX_ANSWERED_REQUESTS: Final = 20_000
 """Answered requests that are remembered, some 100 bytes each."""
-MAX_LIVES_PER_ROW: Final = 64
+MAX_INCARNATIONS_PER_ROW: Final = 64
 """Crashed targets listed for one request in a report."""
 MAX_ROWS_PER_REPORT: Final = 32
 """Requests listed in one report, those with the most crashes first; the others follow in the next
--- a/trackwheel/quarantine/crash_tracker.py
+++ b/trackwheel/quarantine/crash_tracker.py
@@ -20,7 +20,7 @@
     HOLD_DURATION_S,
     MAX_DECISION_DELAY_S,
     MAX_HELD_REQUESTS,
-    MAX_LIVES_PER_ROW,
+    MAX_INCARNATIONS_PER_ROW,
     MAX_ROWS_PER_REPORT,
     MAX_SUSPECTS,
     MIN_CRASHES_TO_HOLD,
@@ -53,7 +53,7 @@
         self._answered = AnsweredRequests()
         self._withdrawn = WithdrawnRequests()
         self._trial_by_request: dict[bytes, Trial] = {}
-        self._cause_by_life: dict[Incarnation, bytes] = {}
+        self._cause_by_incarnation: dict[Incarnation, bytes] = {}
         """The request to which a crash is attributed, or one of several that may have caused it."""
         self._commands: list[Command] = []
         self._due_at = NEVER
@@ -89,19 +89,19 @@
             case SendPermission.OPEN | SendPermission.ONE:
                 return 0.0
 
-    def connection_closed(self, request: bytes, life: Incarnation, now: float) -> None:
+    def connection_closed(self, request: bytes, incarnation: Incarnation, now: float) -> None:
         """Record that a target closed the connection of a request without an answer."""
-        self._record_own_crash(request, life, now)
-        self.connection_refused(life, now)
+        self._record_own_crash(request, incarnation, now)
+        self.connection_refused(incarnation, now)
 
-    def connection_refused(self, life: Incarnation, now: float) -> None:
+    def connection_refused(self, incarnation: Incarnation, now: float) -> None:
         """Record that a target is down; requests withdrawn recently may have crashed it."""
-        for request in self._withdrawn.pop_recent(life, now):
-            self._record_own_crash(request, life, now)
+        for request in self._withdrawn.pop_recent(incarnation, now):
+            self._record_own_crash(request, incarnation, now)
 
-    def request_withdrawn(self, request: bytes, life: Incarnation, now: float) -> None:
+    def request_withdrawn(self, request: bytes, incarnation: Incarnation, now: float) -> None:
         """Record that a request was withdrawn from a target, which may still run it."""
-        self._withdrawn.add(request, life, now)
+        self._withdrawn.add(request, incarnation, now)
 
     def request_answered(self, request: bytes, now: float) -> None:
         """Record that a target answered a request, which therefore crashes none."""
@@ -118,8 +118,8 @@
         answered = [request for request in reported if self._answered.is_recent(request, now)]
         if answered:
             self._commands.append(Broadcast(RequestsAnswered(answered)))
-        for request, lives in report.rows:
-            evidence = self._record_crashes(request, lives, now)
+        for request, incarnations in report.rows:
+            evidence = self._record_crashes(request, incarnations, now)
             if evidence is not None:
                 evidence.is_known_to_peers = True
 
@@ -161,27 +161,31 @@
         """Return when `tick` is next due (monotonic seconds); 0 if commands are pending."""
         return 0.0 if self._commands else self._due_at
 
-    def _record_own_crash(self, request: bytes, life: Incarnation, now: float) -> None:
+    def _record_own_crash(self, request: bytes, incarnation: Incarnation, now: float) -> None:
         """Count a crash seen by this box against a request, and schedule its report."""
-        evidence = self._record_crashes(request, [life], now)
+        evidence = self._record_crashes(request, [incarnation], now)
         if evidence is None:
             return
-        evidence.add_own(life, now)
+        evidence.add_own(incarnation, now)
         if self._is_on_trial(request, now):
             # Report at once: until then another box may try the request too.
             evidence.report_at = now
         self._due_at = min(self._due_at, evidence.due_at)
 
     def _record_crashes(
-        self, request: bytes, lives: Iterable[Incarnation], now: float
+        self, request: bytes, incarnations: Iterable[Incarnation], now: float
     ) -> Evidence | None:
         """Count crashes against a request; return None if none of them counts."""
         if self._answered.is_recent(request, now):
             return None
         if request in self._held_until_by_request:
-            self._cause_by_life.update(dict.fromkeys(lives, request))
+            self._cause_by_incarnation.update(dict.fromkeys(incarnations, request))
             return None
-        unattributed = [life for life in lives if life not in self._cause_by_life]
+        unattributed = [
+            incarnation
+            for incarnation in incarnations
+            if incarnation not in self._cause_by_incarnation
+        ]
         if not unattributed:
             return None
         evidence = self._evidence(request)
@@ -219,11 +223,15 @@
             for request, evidence in self._evidence_by_request.items()
             if evidence.report_at <= now
         ]
-        due.sort(key=lambda one: len(one[1].own_lives), reverse=True)
+        due.sort(key=lambda one: len(one[1].own_incarnations), reverse=True)
         rows = []
         for request, evidence in due[:MAX_ROWS_PER_REPORT]:
             evidence.mark_reported()
-            rows.append(RequestCrashes(request, sorted(evidence.own_lives)[:MAX_LIVES_PER_ROW]))
+            rows.append(
+                RequestCrashes(
+                    request, sorted(evidence.own_incarnations)[:MAX_INCARNATIONS_PER_ROW]
+                )
+            )
         if rows:
             self._commands.append(Broadcast(CrashReport(rows)))
 
@@ -234,21 +242,23 @@
             for request, evidence in self._evidence_by_request.items()
             if evidence.suspect_since < NEVER
         }:
-            worst = max(suspects.values(), key=lambda evidence: len(evidence.lives))
+            worst = max(suspects.values(), key=lambda evidence: len(evidence.incarnations))
             longest_wait_s = now - min(evidence.suspect_since for evidence in suspects.values())
             if (
                 now - worst.suspect_since < DECISION_DELAY_S
                 and longest_wait_s < MAX_DECISION_DELAY_S
             ):
                 return
-            lives = frozenset(worst.lives)
-            tied = [request for request in suspects if suspects[request].lives == lives]
+            incarnations = frozenset(worst.incarnations)
+            tied = [
+                request for request in suspects if suspects[request].incarnations == incarnations
+            ]
             # Requests with identical crashes are told apart by a trial at one target each.
             confirmed = [one for one in tied if len(tied) == 1 or self._is_on_trial(one, now)]
             for request in confirmed:
                 self._hold(request, now + HOLD_DURATION_S, now)
             if not confirmed:
-                self._attribute(lives, tied[0], now)
+                self._attribute(incarnations, tied[0], now)
 
     def _hold(self, request: bytes, until: float, now: float) -> None:
         """Hold a request and attribute its crashes to it alone."""
@@ -258,24 +268,24 @@
         self._held_until_by_request[request] = until
         if len(self._held_until_by_request) > MAX_HELD_REQUESTS:
             self._release({next(iter(self._held_until_by_request))})
-        self._attribute(evidence.lives, request, now)
-        self._commands.append(HoldStarted(request, len(evidence.lives), until - now))
-        if evidence.own_lives:
+        self._attribute(evidence.incarnations, request, now)
+        self._commands.append(HoldStarted(request, len(evidence.incarnations), until - now))
+        if evidence.own_incarnations:
             # Only boxes that saw a crash themselves announce the hold, which bounds the messages:
             # otherwise every box of the fleet would broadcast it.
             row = HeldRequest(request, (until - now) * MILLISECONDS)
             self._commands.append(Broadcast(RequestsHeld([row])))
 
-    def _attribute(self, lives: Set[Incarnation], cause: bytes, now: float) -> None:
+    def _attribute(self, incarnations: Set[Incarnation], cause: bytes, now: float) -> None:
         """Attribute crashes to one request; others that had three or more go on trial."""
-        self._cause_by_life.update(dict.fromkeys(lives, cause))
+        self._cause_by_incarnation.update(dict.fromkeys(incarnations, cause))
         for request, evidence in list(self._evidence_by_request.items()):
-            crash_count = len(evidence.lives)
-            evidence.remove_attributed(lives)
-            if crash_count >= MIN_CRASHES_TO_HOLD > len(evidence.lives):
+            crash_count = len(evidence.incarnations)
+            evidence.remove_attributed(incarnations)
+            if crash_count >= MIN_CRASHES_TO_HOLD > len(evidence.incarnations):
                 self._trial_by_request[request] = Trial(now + EVIDENCE_RETENTION_S)
                 self._commands.append(TrialStarted(request, crash_count))
-            if not evidence.lives:
+            if not evidence.incarnations:
                 del self._evidence_by_request[request]
 
     def _release(self, requests: set[bytes]) -> None:
@@ -284,8 +294,10 @@
         self._drop_causes(requests)
 
     def _drop_causes(self, requests: set[bytes]) -> None:
-        self._cause_by_life = {
-            life: cause for life, cause in self._cause_by_life.items() if cause not in requests
+        self._cause_by_incarnation = {
+            incarnation: cause
+            for incarnation, cause in self._cause_by_incarnation.items()
+            if cause not in requests
         }
 
     def _release_expired(self, now: float) -> None:
@@ -312,4 +324,4 @@
             if trial.is_active(now)
         }
         known = self._held_until_by_request.keys() | self._trial_by_request.keys()
-        self._drop_causes(set(self._cause_by_life.values()) - known)
+        self._drop_causes(set(self._cause_by_incarnation.values()) - known)
--- a/trackwheel/quarantine/evidence.py
+++ b/trackwheel/quarantine/evidence.py
@@ -16,8 +16,8 @@
     """Targets that crashed under one request without answering it (times in monotonic seconds)."""
 
     def __init__(self) -> None:
-        self.lives: set[Incarnation] = set()
-        self.own_lives: set[Incarnation] = set()
+        self.incarnations: set[Incarnation] = set()
+        self.own_incarnations: set[Incarnation] = set()
         """Targets whose crashes this box has seen itself."""
         self.last_crash_at = 0.0
         self.report_at = NEVER
@@ -30,16 +30,16 @@
         """Return when the next report or decision is due."""
         return min(self.report_at, self.suspect_since + DECISION_DELAY_S)
 
-    def add(self, lives: Iterable[Incarnation], threshold: int, now: float) -> None:
+    def add(self, incarnations: Iterable[Incarnation], threshold: int, now: float) -> None:
         """Record crashed targets; the request becomes a suspect at `threshold` of them."""
-        self.lives.update(lives)
+        self.incarnations.update(incarnations)
         self.last_crash_at = now
-        if len(self.lives) >= threshold and self.suspect_since == NEVER:
+        if len(self.incarnations) >= threshold and self.suspect_since == NEVER:
             self.suspect_since = now
 
-    def add_own(self, life: Incarnation, now: float) -> None:
+    def add_own(self, incarnation: Incarnation, now: float) -> None:
         """Record that this box has seen one of the crashes itself, and schedule its report."""
-        self.own_lives.add(life)
+        self.own_incarnations.add(incarnation)
         if self.report_at == NEVER:
             self.report_at = now + REPORT_DELAY_S
 
@@ -48,11 +48,11 @@
         self.report_at = NEVER
         self.is_known_to_peers = True
 
-    def remove_attributed(self, lives: Set[Incarnation]) -> None:
+    def remove_attributed(self, incarnations: Set[Incarnation]) -> None:
         """Remove crashes that are attributed to another request."""
-        self.lives -= lives
-        self.own_lives -= lives
-        if len(self.lives) < MIN_CRASHES_TO_HOLD:
+        self.incarnations -= incarnations
+        self.own_incarnations -= incarnations
+        if len(self.incarnations) < MIN_CRASHES_TO_HOLD:
             self.suspect_since = NEVER
 
 
--- a/trackwheel/quarantine/models.py
+++ b/trackwheel/quarantine/models.py
@@ -12,7 +12,7 @@
     """Targets that crashed under one request at the sender."""
 
     fingerprint: bytes
-    lives: list[Incarnation]
+    incarnations: list[Incarnation]
 
 
 class CrashReport(NamedTuple):
--- a/trackwheel/quarantine/recent_requests.py
+++ b/trackwheel/quarantine/recent_requests.py
@@ -43,26 +43,26 @@
     """Requests that were withdrawn from targets recently, by target."""
 
     def __init__(self) -> None:
-        self._withdrawn_by_life: dict[Incarnation, list[tuple[bytes, float]]] = {}
+        self._withdrawn_by_incarnation: dict[Incarnation, list[tuple[bytes, float]]] = {}
 
     def __len__(self) -> int:
-        return len(self._withdrawn_by_life)
+        return len(self._withdrawn_by_incarnation)
 
-    def add(self, request: bytes, life: Incarnation, now: float) -> None:
+    def add(self, request: bytes, incarnation: Incarnation, now: float) -> None:
         """Record that a request was withdrawn from a target, which may still run it."""
-        if len(self._withdrawn_by_life) < MAX_WITHDRAWN_TARGETS:
-            self._withdrawn_by_life.setdefault(life, []).append((request, now))
+        if len(self._withdrawn_by_incarnation) < MAX_WITHDRAWN_TARGETS:
+            self._withdrawn_by_incarnation.setdefault(incarnation, []).append((request, now))
 
-    def pop_recent(self, life: Incarnation, now: float) -> Iterator[bytes]:
+    def pop_recent(self, incarnation: Incarnation, now: float) -> Iterator[bytes]:
         """Remove and yield the requests that a crashed target may still have been running."""
-        for request, withdrawn_at in self._withdrawn_by_life.pop(life, ()):
+        for request, withdrawn_at in self._withdrawn_by_incarnation.pop(incarnation, ()):
             if now - withdrawn_at < WITHDRAWN_RETENTION_S:
                 yield request
 
     def evict_expired(self, now: float) -> None:
         """Evict targets whose last withdrawal is past the retention time."""
-        self._withdrawn_by_life = {
-            life: rows
-            for life, rows in self._withdrawn_by_life.items()
+        self._withdrawn_by_incarnation = {
+            incarnation: rows
+            for incarnation, rows in self._withdrawn_by_incarnation.items()
             if now - rows[-1][1] < WITHDRAWN_RETENTION_S
         }
--- a/trackwheel/quarantine/service.py
+++ b/trackwheel/quarantine/service.py
@@ -103,9 +103,9 @@
         """Return the seconds until a request may be sent again, 0 if it may be sent now."""
         return self._tracker.retry_after_s(request, steady_now())
 
-    def connection_closed(self, request: bytes, life: Incarnation) -> None:
+    def connection_closed(self, request: bytes, incarnation: Incarnation) -> None:
         """Record that a target closed the connection of a request without an answer."""
-        self._tracker.connection_closed(request, life, steady_now())
+        self._tracker.connection_closed(request, incarnation, steady_now())
         self._schedule()
 
     def request_answered(self, request: bytes) -> None:
@@ -113,14 +113,14 @@
         self._tracker.request_answered(request, steady_now())
         self._schedule()
 
-    def connection_refused(self, life: Incarnation) -> None:
+    def connection_refused(self, incarnation: Incarnation) -> None:
         """Record that a target refused a connection."""
-        self._tracker.connection_refused(life, steady_now())
+        self._tracker.connection_refused(incarnation, steady_now())
         self._schedule()
 
-    def request_withdrawn(self, request: bytes, life: Incarnation) -> None:
+    def request_withdrawn(self, request: bytes, incarnation: Incarnation) -> None:
         """Record that a request was withdrawn from a target that has not answered it."""
-        self._tracker.request_withdrawn(request, life, steady_now())
+        self._tracker.request_withdrawn(request, incarnation, steady_now())
 
     def send_held_requests(self, address: str) -> None:
         """Send the held requests to one box."""
--- a/trackwheel/relay/cold.py
+++ b/trackwheel/relay/cold.py
@@ -50,7 +50,7 @@
         self._sharers = sharers
         self._limit_by_service: Mapping[str, ColdLimit] = {}
         self._shards: frozenset[str] = frozenset()
-        self._sent_at_by_life: dict[Incarnation, deque[float]] = {}
+        self._sent_at_by_incarnation: dict[Incarnation, deque[float]] = {}
 
     def set_limits(self, limit_by_service: Mapping[str, ColdLimit], shards: frozenset[str]) -> None:
         """Set the limits by service, and which services are shards of a query."""
@@ -88,15 +88,17 @@
         if self.limit_of(target.service).requests_per_s > 0.0:
             self._recent_sends(target, now).append(now)
 
-    def retain(self, lives: set[Incarnation]) -> None:
+    def retain(self, incarnations: set[Incarnation]) -> None:
         """Drop the state of all other targets."""
-        self._sent_at_by_life = {
-            life: sent for life, sent in self._sent_at_by_life.items() if life in lives
+        self._sent_at_by_incarnation = {
+            incarnation: sent
+            for incarnation, sent in self._sent_at_by_incarnation.items()
+            if incarnation in incarnations
         }
 
     def _recent_sends(self, target: Target, now: float) -> deque[float]:
         """Return the times of the requests to a target within the current window."""
-        sent = self._sent_at_by_life.setdefault(target.incarnation, deque())
+        sent = self._sent_at_by_incarnation.setdefault(target.incarnation, deque())
         while sent and sent[0] <= now - COLD_WINDOW_S:
             sent.popleft()
         return sent
--- a/trackwheel/relay/down_reports.py
+++ b/trackwheel/relay/down_reports.py
@@ -19,7 +19,7 @@
     born_ms: int = 0
 
     @property
-    def life(self) -> Incarnation:
+    def incarnation(self) -> Incarnation:
         """Return the incarnation of the target that this is about."""
         return self.instance, self.born_ms
 
@@ -48,8 +48,8 @@
 
     def __init__(self, selector: TargetSelector) -> None:
         self._selector = selector
-        self._reported_at_by_life: dict[Incarnation, float] = {}
-        self._reporter_by_life: dict[Incarnation, _Reporter] = {}
+        self._reported_at_by_incarnation: dict[Incarnation, float] = {}
+        self._reporter_by_incarnation: dict[Incarnation, _Reporter] = {}
         self._distrusted_until_by_box: dict[str, float] = {}
         self._next_clean_up = 0.0
 
@@ -62,14 +62,14 @@
             return None
         if outcome is not Outcome.NOT_SENT:
             return None
-        self._reporter_by_life.pop(target.incarnation, None)
+        self._reporter_by_incarnation.pop(target.incarnation, None)
         if (
-            now - self._reported_at_by_life.get(target.incarnation, float("-inf"))
+            now - self._reported_at_by_incarnation.get(target.incarnation, float("-inf"))
             < DOWN_REPORT_INTERVAL_S
         ):
             return None
         self._clean_up(now)
-        self._reported_at_by_life[target.incarnation] = now
+        self._reported_at_by_incarnation[target.incarnation] = now
         return TargetDown(target.instance, 0.0, target.born_ms)
 
     def receive(self, box: str, report: TargetDown, now: float) -> bool:
@@ -78,19 +78,19 @@
             return False
         failed_at = now - max(0.0, report.age_ms) / MILLISECONDS
         until = failed_at + REPORTED_DOWN_S
-        if until <= now or not self._selector.report_down(report.life, failed_at, until):
+        if until <= now or not self._selector.report_down(report.incarnation, failed_at, until):
             return False
         self._clean_up(now)
-        self._reported_at_by_life[report.life] = now
-        self._reporter_by_life[report.life] = _Reporter(box, failed_at, until)
+        self._reported_at_by_incarnation[report.incarnation] = now
+        self._reporter_by_incarnation[report.incarnation] = _Reporter(box, failed_at, until)
         return True
 
-    def _note_contradiction(self, life: Incarnation, sent_at: float) -> None:
+    def _note_contradiction(self, incarnation: Incarnation, sent_at: float) -> None:
         """Distrust the box that reported a target down if a request sent after that succeeded."""
-        reporter = self._reporter_by_life.get(life)
+        reporter = self._reporter_by_incarnation.get(incarnation)
         if reporter is None or not reporter.failed_at <= sent_at < reporter.until:
             return
-        del self._reporter_by_life[life]
+        del self._reporter_by_incarnation[incarnation]
         self._distrusted_until_by_box[reporter.box] = sent_at + DOWN_REPORT_DISTRUST_S
 
     def _clean_up(self, now: float) -> None:
@@ -98,14 +98,14 @@
         if now < self._next_clean_up:
             return
         self._next_clean_up = now + 1.0
-        self._reported_at_by_life = {
-            life: at
-            for life, at in self._reported_at_by_life.items()
+        self._reported_at_by_incarnation = {
+            incarnation: at
+            for incarnation, at in self._reported_at_by_incarnation.items()
             if now - at < DOWN_REPORT_INTERVAL_S
         }
-        self._reporter_by_life = {
-            life: reporter
-            for life, reporter in self._reporter_by_life.items()
+        self._reporter_by_incarnation = {
+            incarnation: reporter
+            for incarnation, reporter in self._reporter_by_incarnation.items()
             if reporter.until > now
         }
         self._distrusted_until_by_box = {
--- a/trackwheel/relay/target_selector.py
+++ b/trackwheel/relay/target_selector.py
@@ -60,7 +60,7 @@
         self._place = place
         self._random = Random(seed)
         self._cold_limiter = cold_limiter
-        self._record_by_life: dict[Incarnation, TargetRecord] = {}
+        self._record_by_incarnation: dict[Incarnation, TargetRecord] = {}
         """Keyed by incarnation, so that a restarted target begins with an empty record."""
         self._response_times = ResponseTimes()
         self._targets_by_service: dict[str, tuple[Target, ...]] = {}
@@ -70,10 +70,10 @@
         before = self._targets_by_service
         self._targets_by_service = targets_by_service
         known = {target.incarnation for target in self._all_targets()}
-        self._record_by_life = {
-            life: record
-            for life, record in self._record_by_life.items()
-            if life in known or record.in_flight_by_token
+        self._record_by_incarnation = {
+            incarnation: record
+            for incarnation, record in self._record_by_incarnation.items()
+            if incarnation in known or record.in_flight_by_token
         }
         if self._cold_limiter is not None:
             self._cold_limiter.retain(known)
@@ -145,12 +145,12 @@
             return None
         return TargetAvailability.OUT_OF_USE if record.is_ejected else TargetAvailability.IN_USE
 
-    def report_down(self, life: Incarnation, failed_at: float, until: float) -> bool:
+    def report_down(self, incarnation: Incarnation, failed_at: float, until: float) -> bool:
         """Record that another box could not connect to a target; return whether this had effect.
 
         An answer received here after that failure takes precedence.
         """
-        target = next((t for t in self._all_targets() if t.incarnation == life), None)
+        target = next((t for t in self._all_targets() if t.incarnation == incarnation), None)
         if target is None:
             return False
         record = self._record(target)
@@ -327,7 +327,7 @@
         return self.usual_s(route, self.is_far(target))
 
     def _record(self, target: Target) -> TargetRecord:
-        record = self._record_by_life.get(target.incarnation)
+        record = self._record_by_incarnation.get(target.incarnation)
         if record is None:
-            record = self._record_by_life[target.incarnation] = TargetRecord()
+            record = self._record_by_incarnation[target.incarnation] = TargetRecord()
         return record
--- a/trackwheel/relay/transport.py
+++ b/trackwheel/relay/transport.py
@@ -71,7 +71,7 @@
         self._selector = selector
         self._clock = clock
         self._log = log
-        self._pool_by_life: dict[Incarnation, TargetPool] = {}
+        self._pool_by_incarnation: dict[Incarnation, TargetPool] = {}
         self._limit_by_service: dict[str, int] = {}
         self._members = 1
         self.sent_by_reason: Counter[tuple[str, str]] = Counter()
@@ -92,18 +92,20 @@
         self._limit_by_service = connections_by_service
         self._members = max(1, members)
 
-    def close_unknown(self, lives: set[Incarnation]) -> None:
+    def close_unknown(self, incarnations: set[Incarnation]) -> None:
         """Close the idle connections to all other targets."""
-        for life in [known for known in self._pool_by_life if known not in lives]:
-            pool = self._pool_by_life[life]
+        for incarnation in [
+            known for known in self._pool_by_incarnation if known not in incarnations
+        ]:
+            pool = self._pool_by_incarnation[incarnation]
             pool.close()
             if pool.unused:
-                del self._pool_by_life[life]
+                del self._pool_by_incarnation[incarnation]
 
-    def refuse_waiting(self, lives: set[Incarnation]) -> None:
+    def refuse_waiting(self, incarnations: set[Incarnation]) -> None:
         """Refuse requests that wait for a connection to targets that get no new work."""
-        for life in lives & self._pool_by_life.keys():
-            self._pool_by_life[life].refuse_waiting()
+        for incarnation in incarnations & self._pool_by_incarnation.keys():
+            self._pool_by_incarnation[incarnation].refuse_waiting()
 
     def send(self, attempt: TargetAttempt, on_end: OnTargetResult) -> None:
         """Send a request; `on_end` is called once unless the request is withdrawn."""
@@ -137,7 +139,7 @@
     def withdraw(self, token: object, target: Target, fingerprint: bytes) -> None:
         """Withdraw a request."""
         self._selector.withdrawn(target, token, self._clock())
-        pool = self._pool_by_life.get(target.incarnation)
+        pool = self._pool_by_incarnation.get(target.incarnation)
         if pool is not None and pool.cancel(token):
             for handler in self._on_withdrawn:
                 handler(fingerprint, target)
@@ -188,10 +190,10 @@
         return TargetResult(_OUTCOME_BY_KIND[end.kind], None, b"", None, end.detail)
 
     def _pool(self, target: Target) -> TargetPool:
-        pool = self._pool_by_life.get(target.incarnation)
+        pool = self._pool_by_incarnation.get(target.incarnation)
         if pool is None:
             host, port = split_address(target.address)
-            pool = self._pool_by_life[target.incarnation] = TargetPool(host, port, 0)
+            pool = self._pool_by_incarnation[target.incarnation] = TargetPool(host, port, 0)
         allowed = self._limit_by_service.get(target.service, DEFAULT_CONNECTIONS * self._members)
         pool.limit = max(MIN_CONNECTIONS, int(allowed * CONNECTION_SHARE / self._members))
         return pool
