--- a/bench/policy_fleet.py
+++ b/bench/policy_fleet.py
@@ -388,12 +388,12 @@
 
     def evacuate(self, domain: str) -> None:
         """Let no new request go to the targets of a failure domain from any box."""
-        barred = {
-            shard: tuple(t._replace(barred=t.place.failure_domain == domain) for t in found)
+        excluded = {
+            shard: tuple(t._replace(excluded=t.place.failure_domain == domain) for t in found)
             for shard, found in self._targets.items()
         }
         for box in self.box_by_address.values():
-            box.selector.set_targets(barred, self.agenda.now)
+            box.selector.set_targets(excluded, self.agenda.now)
 
     def play(self, kinds: list[Kind], seconds: float) -> dict[str, Tally]:
         """Let callers come for some seconds and return how their queries ended."""
--- a/tests/directory/memory_fleet.py
+++ b/tests/directory/memory_fleet.py
@@ -146,12 +146,12 @@
 
 
 class MemoryBox:
-    """One box: its directory, and since when the targets of each domain have been barred."""
+    """One box: its directory, and since when the targets of each domain have been excluded."""
 
     def __init__(self, fleet: "MemoryFleet", domain: str, place: int) -> None:
         self.domain, self.place = domain, place
         self.address = f"{domain}:{place}"
-        self.barred_since: dict[str, float] = {}
+        self.excluded_since: dict[str, float] = {}
         self.hub = MemoryHub(
             fleet, PeerIdentity(self.address, self.address, self.address, "r", domain)
         )
@@ -166,14 +166,14 @@
         self.directory.on_targets(self._take_targets)
 
     @property
-    def barred(self) -> set[str]:
-        """Return the domains whose targets are barred at this box."""
-        return set(self.barred_since)
+    def excluded(self) -> set[str]:
+        """Return the domains whose targets are excluded at this box."""
+        return set(self.excluded_since)
 
     def _take_targets(self, targets_by_service: dict[str, tuple[Target, ...]]) -> None:
         now = steady_now()
-        barred = {t.place.failure_domain for t in targets_by_service.get("s", ()) if t.barred}
-        self.barred_since = {domain: self.barred_since.get(domain, now) for domain in barred}
+        excluded = {t.place.failure_domain for t in targets_by_service.get("s", ()) if t.excluded}
+        self.excluded_since = {domain: self.excluded_since.get(domain, now) for domain in excluded}
 
 
 class MemoryFleet:
@@ -221,10 +221,10 @@
         while not all(box.directory.ready for box in self.box_by_address.values()):
             await anyio.sleep(0.01)
 
-    async def until_barred(self, domains: set[str], limit_s: float) -> float:
+    async def until_excluded(self, domains: set[str], limit_s: float) -> float:
         """Wait until every box bars exactly these domains; return how long that took (seconds)."""
         began = steady_now()
         with anyio.fail_after(limit_s):
-            while any(box.barred != domains for box in self.box_by_address.values()):
+            while any(box.excluded != domains for box in self.box_by_address.values()):
                 await anyio.sleep(0.005)
         return steady_now() - began
--- a/tests/directory/test_evacuations.py
+++ b/tests/directory/test_evacuations.py
@@ -116,9 +116,9 @@
         await anyio.sleep(0.8)
         fleet.store.rejected = turned_away
         fleet.store.evacuate("a")
-        evacuate_s = await fleet.until_barred({"a"}, LIMIT_S)
+        evacuate_s = await fleet.until_excluded({"a"}, LIMIT_S)
         fleet.store.evacuate("a", active=False)
-        cancel_s = await fleet.until_barred(set(), LIMIT_S)
+        cancel_s = await fleet.until_excluded(set(), LIMIT_S)
         tasks.cancel_scope.cancel()
     return evacuate_s, cancel_s
 
@@ -161,7 +161,7 @@
             await fleet.run(tasks)
             await anyio.sleep(0.8)
             fleet.store.evacuate("b")
-            await fleet.until_barred({"b"}, LIMIT_S)
+            await fleet.until_excluded({"b"}, LIMIT_S)
             if store_is_away:
                 fleet.store.rejected = {box.address for box in fleet.box_by_address.values()}
                 fleet.store.rejected.add("a:2")
@@ -169,7 +169,7 @@
             with anyio.fail_after(LIMIT_S):
                 while not late.directory.ready:
                     await anyio.sleep(0.005)
-            assert late.barred == {"b"}
+            assert late.excluded == {"b"}
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
--- a/tests/directory/test_readings.py
+++ b/tests/directory/test_readings.py
@@ -84,10 +84,10 @@
 def present_targets(box: ReadingBox) -> dict[str, bool]:
     """Return the targets that a box considers present, and whether each is leaving."""
     return {
-        target.instance: target.barred
+        target.instance: target.excluded
         for targets in box.targets.targets_by_service().values()
         for target in targets
-        if not target.doubtful
+        if not target.presumed_gone
     }
 
 
--- a/tests/directory/test_targets.py
+++ b/tests/directory/test_targets.py
@@ -19,7 +19,9 @@
 
 def states(directory: TargetDirectory) -> dict[str, str]:
     return {
-        target.instance: "leaving" if target.barred else "doubtful" if target.doubtful else "ready"
+        target.instance: (
+            "leaving" if target.excluded else "presumed_gone" if target.presumed_gone else "ready"
+        )
         for found in directory.targets_by_service().values()
         for target in found
     }
@@ -69,7 +71,7 @@
     directory = make_directory()
     directory.apply(UPDATES[0], 0.0)
     directory.apply(TargetsRead(2, [], [EntryRemoved("a", 3)], 3), 1.0)
-    assert states(directory) == {"a": "doubtful", "b": "ready"}
+    assert states(directory) == {"a": "presumed_gone", "b": "ready"}
     assert directory.next_expiry() == 1.0 + LAST_RESORT_S
     assert not directory.expire(1.0)
     assert directory.expire(1.0 + LAST_RESORT_S)
@@ -128,7 +130,7 @@
     watcher.expire(told_at)
     peer.apply(UPDATES[0], 0.0)
     peer.apply_push(watcher.changes_since(2, told_at), told_at)
-    assert states(peer) == {"a": "doubtful", "b": "doubtful"}
+    assert states(peer) == {"a": "presumed_gone", "b": "presumed_gone"}
 
 
 def test_leaving_target_that_expired_in_an_outage_is_dropped_at_once() -> None:
@@ -145,7 +147,7 @@
     directory = make_directory()
     directory.apply(UPDATES[0], 0.0)
     directory.apply(TargetsRead(None, [entry("b", 2), entry("d", 7)], [], 8), 1.0)
-    assert states(directory) == {"a": "doubtful", "b": "ready", "d": "ready"}
+    assert states(directory) == {"a": "presumed_gone", "b": "ready", "d": "ready"}
     assert directory.known_revision == 8
 
 
--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -899,8 +899,8 @@
         DIRECTORY + "test_entries_that_expired_in_an_outage_are_used_until_they_return",
         Mutant(
             "trackwheel/directory/targets.py",
-            "doubtful=not record.present and not record.may_return",
-            "doubtful=not record.present",
+            "presumed_gone=not record.present and not record.may_return",
+            "presumed_gone=not record.present",
         ),
     ),
     Row(
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -22,9 +22,9 @@
     service: str,
     place: Place = HERE,
     leaving: bool = False,
-    doubtful: bool = False,
+    presumed_gone: bool = False,
 ) -> Target:
-    return Target(name, service, "127.0.0.1:1", place, 2, leaving, doubtful, 0.0)
+    return Target(name, service, "127.0.0.1:1", place, 2, leaving, presumed_gone, 0.0)
 
 
 def target_result(outcome: Outcome, load: Load | None = None) -> TargetResult:
--- a/tests/relay/test_cold.py
+++ b/tests/relay/test_cold.py
@@ -184,7 +184,7 @@
 def test_targets_are_cold_after_an_evacuation_ends() -> None:
     """They may have restarted during it, and report that only with their next heartbeat."""
     one = target("t", SERVICE)
-    selector = make_selector(make_limiter(2.0), one._replace(barred=True))
+    selector = make_selector(make_limiter(2.0), one._replace(excluded=True))
     assert ask(selector, 0.0) is None
     selector.set_targets({SERVICE: (one,)}, 1.0)
     assert sum(ask(selector, 1.0 + step * 0.001) is not None for step in range(500)) == 4
--- a/tests/relay/test_homes.py
+++ b/tests/relay/test_homes.py
@@ -147,8 +147,8 @@
 
 def test_evacuated_home_is_refused_and_named() -> None:
     selector = TargetSelector(HERE, seed=1)
-    barred = target("a", "s0", HERE, leaving=True)
-    selector.set_targets({"s0": (barred, target("b", "s0", THERE))}, 0.0)
+    excluded = target("a", "s0", HERE, leaving=True)
+    selector.set_targets({"s0": (excluded, target("b", "s0", THERE))}, 0.0)
     single = Single(SinglePlan(homed(HOMES[0]), "s0", True, 3, 0.19, 1.0), selector, make_budget())
     assert single.start(0.0) == [SingleFailed(False, False, NoTargetReason.BARRED.value)]
 
--- a/tests/relay/test_incarnations.py
+++ b/tests/relay/test_incarnations.py
@@ -87,7 +87,7 @@
         directory.apply(STEPS[place], 0.0)
     directory.expire(100.0)
     (found,) = directory.targets_by_service()["s"]
-    assert (found.born_ms, found.barred, found.doubtful) == (9_000, False, False)
+    assert (found.born_ms, found.excluded, found.presumed_gone) == (9_000, False, False)
     assert found.cold_until >= 2.0
 
 
--- a/tests/relay/test_target_selector.py
+++ b/tests/relay/test_target_selector.py
@@ -109,8 +109,12 @@
     ("targets", "expected"),
     [
         pytest.param([target("a", "s", leaving=True)], [], id="leaving-gets-nothing"),
-        pytest.param([target("a", "s", doubtful=True)], ["a"], id="doubtful-is-a-last-resort"),
-        pytest.param([target("a", "s", doubtful=True), FAR], ["far", "a"], id="doubtful-last"),
+        pytest.param(
+            [target("a", "s", presumed_gone=True)], ["a"], id="presumed-gone-is-a-last-resort"
+        ),
+        pytest.param(
+            [target("a", "s", presumed_gone=True), FAR], ["far", "a"], id="presumed-gone-last"
+        ),
     ],
 )
 def test_directory_state_limits_the_ranking(targets: list[Target], expected: list[str]) -> None:
--- a/trackwheel/directory/targets.py
+++ b/trackwheel/directory/targets.py
@@ -165,7 +165,7 @@
     ) -> dict[str, tuple[Target, ...]]:
         """Return the targets of each service for the target selection.
 
-        Targets in evacuated failure domains are barred.
+        Targets in evacuated failure domains are excluded.
         """
         found: dict[str, list[Target]] = {}
         for record in self._record_by_instance.values():
@@ -177,8 +177,8 @@
                 address=entry.address,
                 place=Place(region, entry.failure_domain),
                 slots=entry.slots,
-                barred=entry.leaving or entry.failure_domain in evacuated,
-                doubtful=not record.present and not record.may_return,
+                excluded=entry.leaving or entry.failure_domain in evacuated,
+                presumed_gone=not record.present and not record.may_return,
                 cold_until=record.warmup_until,
                 born_ms=entry.born_ms,
             )
--- a/trackwheel/entry/box.py
+++ b/trackwheel/entry/box.py
@@ -218,7 +218,7 @@
         self.selector.set_targets(targets_by_service, steady_now())
         targets = tuple(chain.from_iterable(targets_by_service.values()))
         self.transport.close_unknown({target.incarnation for target in targets})
-        self.transport.refuse_waiting({target.incarnation for target in targets if target.barred})
+        self.transport.refuse_waiting({target.incarnation for target in targets if target.excluded})
         self._set_shards()
 
     def _set_shards(self) -> None:
--- a/trackwheel/relay/models.py
+++ b/trackwheel/relay/models.py
@@ -36,8 +36,9 @@
 class Target(NamedTuple):
     """One target as the directory knows it; `cold_until` is monotonic seconds.
 
-    A `barred` target gets no new requests: it is leaving, or its failure domain is evacuated. A
-    `doubtful` one is a last resort. `born_ms` is its start time (Unix milliseconds).
+    An `excluded` target gets no new requests: it is leaving, or its failure domain is evacuated. A
+    `presumed_gone` one, whose entry was removed and is not expected back, is a last resort.
+    `born_ms` is its start time (Unix milliseconds).
     """
 
     instance: str
@@ -45,8 +46,8 @@
     address: str
     place: Place
     slots: int
-    barred: bool
-    doubtful: bool
+    excluded: bool
+    presumed_gone: bool
     cold_until: float
     born_ms: int = 0
 
--- a/trackwheel/relay/target_selector.py
+++ b/trackwheel/relay/target_selector.py
@@ -197,7 +197,7 @@
         if any(not self._is_limited_as_cold(target, now) for target in targets_in_use):
             return True
         return bool(targets_in_use) and all(
-            target.barred or self._is_limited_as_cold(target, now)
+            target.excluded or self._is_limited_as_cold(target, now)
             for target in self.targets(service)
         )
 
@@ -230,11 +230,11 @@
         return min(self._cold_until(target) - now for target in open_targets)
 
     def _open_targets(self, service: str, route: RouteKey) -> list[Target]:
-        """Return the targets that the route's homes allow and that are not barred."""
+        """Return the targets that the route's homes allow and that are not excluded."""
         return [
             target
             for target in self.targets(service)
-            if route.allows(target.place.region) and not target.barred
+            if route.allows(target.place.region) and not target.excluded
         ]
 
     def _all_targets(self) -> Iterable[Target]:
@@ -256,9 +256,9 @@
         They report that only with their next heartbeat; until then they would get the usual load,
         which is many times what a cold target can take.
         """
-        barred = {target.incarnation for target in before if target.barred}
+        excluded = {target.incarnation for target in before if target.excluded}
         for target in self._all_targets():
-            if target.incarnation in barred and not target.barred:
+            if target.incarnation in excluded and not target.excluded:
                 duration_s = (
                     self._cold_limiter.limit_of(target.service).duration_s
                     if self._cold_limiter
@@ -269,14 +269,14 @@
 
     def _is_in_use(self, target: Target, now: float) -> bool:
         """Return whether a target may get new requests and is not a last resort."""
-        if target.barred or target.doubtful:
+        if target.excluded or target.presumed_gone:
             return False
         record = self._record(target)
         return not record.is_last_resort(now) and record.gone_until <= now
 
     def _may_ask(self, target: Target, now: float) -> bool:
         """Return whether a target may get a request at all."""
-        if target.barred or self._record(target).gone_until > now:
+        if target.excluded or self._record(target).gone_until > now:
             return False
         return not self._is_limited_as_cold(target, now) or (
             self._cold_limiter is not None and self._cold_limiter.allows(target, now)
@@ -302,7 +302,7 @@
             distance_cost = OTHER_DOMAIN_COST_AIMS
         cost_s = expected_s + (failure_cost + distance_cost) * route.aim_s
         cost_s *= 1.0 + self._random.random() * COST_JITTER
-        last_resort = target.doubtful or record.is_last_resort(now)
+        last_resort = target.presumed_gone or record.is_last_resort(now)
         usual_s = self._usual_s(target, route)
         return Candidate(target, usual_s, expected_s, cost_s, last_resort, record.backoff_until)
 
