--- a/tests/proofs.py
+++ b/tests/proofs.py
@@ -909,8 +909,8 @@
         DIRECTORY + "test_entries_that_expired_in_an_outage_are_used_until_they_return",
         Mutant(
             "trackwheel/directory/targets.py",
-            "doubtful=not record.present and not record.may_return",
-            "doubtful=not record.present",
+            "presumed_gone=not record.present and not record.may_return",
+            "presumed_gone=not record.present",
         ),
     ),
     Row(
@@ -1353,8 +1353,8 @@
         CRASHING + "test_crashing_query_spares_the_second_replica_of_each_shard",
         Mutant(
             "trackwheel/relay/gather.py",
-            "return self._closings.any and not len(self.parts)",
-            "return False and not len(self.parts)",
+            "self._closed_connections.has_any and not len(self.parts)",
+            "False and not len(self.parts)",
         ),
     ),
     Row(
@@ -1403,7 +1403,7 @@
         CRASH_TRACKER + "test_held",
         Mutant(
             "trackwheel/quarantine/crash_tracker.py",
-            "            evidence.remove_attributed(lives)\n",
+            "            evidence.remove_attributed(incarnations)\n",
             "",
         ),
     ),
@@ -1434,7 +1434,7 @@
         HELD,
         "second targets of a query under which the first ones ended",
         CRASHING_QUERY + "test_second_targets_are_spared_while_nothing_has_answered",
-        Mutant("trackwheel/relay/gather.py", "self._closings.own += 1", "pass"),
+        Mutant("trackwheel/relay/gather.py", "self._closed_connections.own_count += 1", "pass"),
     ),
     Row(
         LOAD,
--- a/trackwheel/relay/target_selector.py
+++ b/trackwheel/relay/target_selector.py
@@ -60,7 +60,7 @@
         self._place = place
         self._random = Random(seed)
         self._cold_limiter = cold_limiter
-        self._record_by_life: dict[Incarnation, TargetRecord] = {}
+        self._record_by_incarnation: dict[Incarnation, TargetRecord] = {}
         """Keyed by incarnation, so that a restarted target begins with an empty record."""
         self._response_times = ResponseTimes()
         self._targets_by_service: dict[str, tuple[Target, ...]] = {}
@@ -70,10 +70,10 @@
         before = self._targets_by_service
         self._targets_by_service = targets_by_service
         known = {target.incarnation for target in self._all_targets()}
-        self._record_by_life = {
-            life: record
-            for life, record in self._record_by_life.items()
-            if life in known or record.in_flight_by_token
+        self._record_by_incarnation = {
+            incarnation: record
+            for incarnation, record in self._record_by_incarnation.items()
+            if incarnation in known or record.in_flight_by_token
         }
         if self._cold_limiter is not None:
             self._cold_limiter.retain(known)
@@ -145,12 +145,12 @@
             return None
         return TargetAvailability.OUT_OF_USE if record.is_ejected else TargetAvailability.IN_USE
 
-    def report_down(self, life: Incarnation, failed_at: float, until: float) -> bool:
+    def report_down(self, incarnation: Incarnation, failed_at: float, until: float) -> bool:
         """Record that another box could not connect to a target; return whether this had effect.
 
         An answer received here after that failure takes precedence.
         """
-        target = next((t for t in self._all_targets() if t.incarnation == life), None)
+        target = next((t for t in self._all_targets() if t.incarnation == incarnation), None)
         if target is None:
             return False
         record = self._record(target)
@@ -197,7 +197,7 @@
         if any(not self._is_limited_as_cold(target, now) for target in targets_in_use):
             return True
         return bool(targets_in_use) and all(
-            target.barred or self._is_limited_as_cold(target, now)
+            target.excluded or self._is_limited_as_cold(target, now)
             for target in self.targets(service)
         )
 
@@ -230,11 +230,11 @@
         return min(self._cold_until(target) - now for target in open_targets)
 
     def _open_targets(self, service: str, route: RouteKey) -> list[Target]:
-        """Return the targets that the route's homes allow and that are not barred."""
+        """Return the targets that the route's homes allow and that are not excluded."""
         return [
             target
             for target in self.targets(service)
-            if route.allows(target.place.region) and not target.barred
+            if route.allows(target.place.region) and not target.excluded
         ]
 
     def _all_targets(self) -> Iterable[Target]:
@@ -256,9 +256,9 @@
         They report that only with their next heartbeat; until then they would get the usual load,
         which is many times what a cold target can take.
         """
-        barred = {target.incarnation for target in before if target.barred}
+        excluded = {target.incarnation for target in before if target.excluded}
         for target in self._all_targets():
-            if target.incarnation in barred and not target.barred:
+            if target.incarnation in excluded and not target.excluded:
                 duration_s = (
                     self._cold_limiter.limit_of(target.service).duration_s
                     if self._cold_limiter
@@ -269,14 +269,14 @@
 
     def _is_in_use(self, target: Target, now: float) -> bool:
         """Return whether a target may get new requests and is not a last resort."""
-        if target.barred or target.doubtful:
+        if target.excluded or target.presumed_gone:
             return False
         record = self._record(target)
         return not record.is_last_resort(now) and record.gone_until <= now
 
     def _may_ask(self, target: Target, now: float) -> bool:
         """Return whether a target may get a request at all."""
-        if target.barred or self._record(target).gone_until > now:
+        if target.excluded or self._record(target).gone_until > now:
             return False
         return not self._is_limited_as_cold(target, now) or (
             self._cold_limiter is not None and self._cold_limiter.allows(target, now)
@@ -302,7 +302,7 @@
             distance_cost = OTHER_DOMAIN_COST_AIMS
         cost_s = expected_s + (failure_cost + distance_cost) * route.aim_s
         cost_s *= 1.0 + self._random.random() * COST_JITTER
-        last_resort = target.doubtful or record.is_last_resort(now)
+        last_resort = target.presumed_gone or record.is_last_resort(now)
         usual_s = self._usual_s(target, route)
         return Candidate(target, usual_s, expected_s, cost_s, last_resort, record.backoff_until)
 
@@ -327,7 +327,7 @@
         return self.usual_s(route, self.is_far(target))
 
     def _record(self, target: Target) -> TargetRecord:
-        record = self._record_by_life.get(target.incarnation)
+        record = self._record_by_incarnation.get(target.incarnation)
         if record is None:
-            record = self._record_by_life[target.incarnation] = TargetRecord()
+            record = self._record_by_incarnation[target.incarnation] = TargetRecord()
         return record
