--- a/trackwheel/app.py
+++ b/trackwheel/app.py
@@ -187,7 +187,7 @@
     def _wire(self) -> None:
         self.fleet.on_members(self._take_members)
         self.fleet.on_revision(self.files.peer_revision)
-        self.fleet.on_leaving_targets(self._take_notes)
+        self.fleet.on_leaving_targets(self._handle_leaving_targets)
         self.files.on_in_force(self._take_in_force)
 
     def _take_members(self, members: tuple[Member, ...]) -> None:
@@ -199,10 +199,10 @@
             rebroadcasts=self.fleet.is_watcher(),
         )
 
-    def _take_notes(self, notes: tuple[LeavingTarget, ...]) -> None:
-        self.dispatch.apply_leaving_report(notes)
-        for note in notes:
-            self.board.mark_leaving(note.address, steady_now())
+    def _handle_leaving_targets(self, leaving_targets: tuple[LeavingTarget, ...]) -> None:
+        self.dispatch.apply_leaving_report(leaving_targets)
+        for target in leaving_targets:
+            self.board.mark_leaving(target.address, steady_now())
 
     def _take_in_force(self, in_force: InForce) -> None:
         self.fleet.set_files_revision(in_force.revision)
--- a/trackwheel/relay/group_delegator.py
+++ b/trackwheel/relay/group_delegator.py
@@ -31,8 +31,8 @@
 
     def delegate(self, group: GroupPlan) -> SendGroup:
         """Delegate a group: a first one with all attempts but one, a repeat with one attempt."""
-        handed = DelegatedGroup(group, self._max_missing_of(group))
-        number = self._groups.add(handed)
+        delegated = DelegatedGroup(group, self._max_missing_of(group))
+        number = self._groups.add(delegated)
         if not group.repeat:
             self._parts.expect_merged(group.shards)
         for name in group.shards:
@@ -45,7 +45,7 @@
             else:
                 shard.attempts.delegate(self._plan.peer_attempts, local)
         floor = self._parts.floor() if group.repeat else b""
-        return SendGroup(number, group, floor, handed.least_coverage)
+        return SendGroup(number, group, floor, delegated.least_coverage)
 
     def delegate_elsewhere(self, names: Sequence[str], repeat: bool, now: float) -> list[SendGroup]:
         """Delegate shards to peers near targets not tried yet, if the gate lets the query pass."""
--- a/trackwheel/relay/grouping.py
+++ b/trackwheel/relay/grouping.py
@@ -84,7 +84,7 @@
         }
         groups: list[ShardGroup] = []
         for peers_by_place in self._peers_by_distance(plan.route):
-            held_by_place = {
+            reachable_by_place = {
                 place: {
                     shard
                     for shard in remaining
@@ -92,16 +92,16 @@
                 }
                 for place in peers_by_place
             }
-            for peer, held in _cover_greedily(
-                held_by_place,
+            for peer, covered in _cover_greedily(
+                reachable_by_place,
                 remaining,
                 peers_by_place,
                 self._peer_tracker,
                 now,
                 MIN_REGROUP_SHARDS,
             ):
-                groups.append(ShardGroup(peer, tuple(sorted(held))))
-                remaining -= held
+                groups.append(ShardGroup(peer, tuple(sorted(covered))))
+                remaining -= covered
         return tuple(self._plan(group, plan.route, plan.answer_at, repeat, now) for group in groups)
 
     def _plan(
@@ -194,16 +194,16 @@
     peers_by_place = _by_place(peer for peer in peers if peer.place != own or not gathers)
     groups: list[ShardGroup] = []
     for distance in range(OTHER_REGION_DISTANCE + 1):
-        held_by_place = {
+        reachable_by_place = {
             place: {shard for shard in remaining if selector.has_target_at(shard, place, now)}
             for place in peers_by_place
             if _distance(place, own) == distance
         }
-        for chosen, held in _cover_greedily(
-            held_by_place, remaining, peers_by_place, peer_tracker, now, MIN_GROUP_SHARDS
+        for chosen, covered in _cover_greedily(
+            reachable_by_place, remaining, peers_by_place, peer_tracker, now, MIN_GROUP_SHARDS
         ):
-            groups.append(ShardGroup(chosen, tuple(shard for shard in shards if shard in held)))
-            remaining -= held
+            groups.append(ShardGroup(chosen, tuple(shard for shard in shards if shard in covered)))
+            remaining -= covered
     return groups
 
 
@@ -222,7 +222,7 @@
 
 
 def _cover_greedily(
-    held_by_place: dict[Place, set[str]],
+    reachable_by_place: dict[Place, set[str]],
     wanted: set[str],
     peers_by_place: dict[Place, list[PeerBox]],
     peer_tracker: PeerTracker,
@@ -235,16 +235,20 @@
     """
     remaining = set(wanted)
     cover: list[tuple[PeerBox, set[str]]] = []
-    while remaining and held_by_place:
-        most = max(len(held & remaining) for held in held_by_place.values())
+    while remaining and reachable_by_place:
+        most = max(len(reachable & remaining) for reachable in reachable_by_place.values())
         if most < least:
             break
         # Ties go to the first place, so that the same links are used again.
-        best = next(place for place, held in held_by_place.items() if len(held & remaining) == most)
-        held = held_by_place.pop(best) & remaining
+        best = next(
+            place
+            for place, reachable in reachable_by_place.items()
+            if len(reachable & remaining) == most
+        )
+        reachable = reachable_by_place.pop(best) & remaining
         chosen = peer_tracker.pick(peers_by_place[best], now)
         if chosen is None:
             continue
-        cover.append((chosen, held))
-        remaining -= held
+        cover.append((chosen, reachable))
+        remaining -= reachable
     return cover
